--- a/crates/sycamore-node/src/edge/mod.rs
+++ b/crates/sycamore-node/src/edge/mod.rs
@@ -1,8 +1,8 @@
-//! The edges of a node: what callers, upstreams and operators say, translated into the node's own
-//! terms and back.
+//! Protocol adapters ("edges") that translate the messages of callers, upstreams and operators into
+//! the node's own types and back.
 //!
-//! The node decides, keeps state and recovers; an edge only reads and writes. [`native`] is the
-//! protocol of `docs/INTERFACES.md`; a program that runs on another platform brings its own.
+//! Adapters only parse and format; decisions, state and recovery stay in the node. [`native`] holds
+//! the protocol of `docs/INTERFACES.md`; a program for another platform passes its own adapters.
 
 pub mod native;
 
@@ -17,18 +17,19 @@
 use sycamore_platform::StoreProtocol;
 use sycamore_types::prelude::*;
 
-/// Every edge of a node.
+/// Protocol adapters of a node.
 #[derive(Clone)]
 pub struct Edges {
-    /// Requests of callers and calls of upstreams.
+    /// Adapter for calls: requests of callers, requests to upstreams and their answers.
     pub calls: Rc<dyn CallEdge>,
-    /// What an upstream says of itself.
+    /// Adapter for the upstream's announcements and drain requests.
     pub upstream: Rc<dyn UpstreamEdge>,
-    /// Rows that operators write into the platform's table; `None` where they only send commands.
+    /// Adapter for rows that operators write into the platform's table; `None` if operators only
+    /// send commands.
     pub operators: Option<Rc<dyn OperatorEdge>>,
-    /// The protocol of the platform's table and object store.
+    /// Protocol of the platform's table and object store.
     pub store: Rc<dyn StoreProtocol>,
-    /// Path at which readiness is asked for.
+    /// HTTP path of the readiness probe.
     pub readiness_path: &'static str,
 }
 
@@ -44,167 +45,168 @@
     }
 }
 
-/// What a request says of itself.
+/// Metadata of a request from its header fields.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestWords {
-    /// The caller's identifier of the request; answers that carry another one belong elsewhere.
+    /// Caller's identifier of the request, `None` if it has none; an answer that carries another
+    /// one belongs to another request.
     pub id: Option<HeaderValue>,
-    /// Time that the caller waits.
+    /// Time that the caller waits for the answer; `None` leaves it to the route.
     pub timeout: Option<Duration>,
-    /// How much the request matters.
+    /// Importance of the request when not all calls can run.
     pub class: Criticality,
-    /// The caller's name.
+    /// Caller's name; `None` if the request doesn't name it.
     pub caller: Option<HeaderValue>,
 }
 
-/// What an upstream must be told with a call.
+/// Metadata of a call that is passed to the upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamCall<'a> {
-    /// Time left for the call.
+    /// Time left until the call's deadline.
     pub left: Duration,
-    /// The service of the instance at which the call began.
+    /// Service of the instance at which the call began.
     pub origin: &'a ServiceName,
-    /// The upstream's own name of its process, where it has one.
+    /// Upstream's own name of its process; `None` if it announced none.
     pub upstream: Option<&'a str>,
-    /// How deep the call is, as headers carry it.
+    /// Depth of the call, as the value of the hops header field.
     pub hops: &'a str,
 }
 
-/// What a connection carried before a request.
+/// Use of a connection before the current request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum History {
-    /// Nothing: its first answer can only belong to the request.
+    /// The connection is new: its first answer can only belong to the current request.
     Fresh,
-    /// Other requests: a late second answer to one of them may come first.
+    /// The connection carried other requests: a late second answer to one of them may come first.
     Reused,
 }
 
-/// What an upstream's answer means.
+/// Meaning of an upstream's answer for its call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamAnswer {
-    /// The call has run; the answer is the caller's.
+    /// The call has run, and its answer is relayed to the caller.
     Ran,
-    /// The upstream shed the call before running it, and its answer says so to the caller.
+    /// The upstream shed the call before running it, and its answer is relayed to the caller.
     Shed,
-    /// The call has not run, for this reason; the answer is not for the caller.
+    /// The call has not run, for this reason; the node answers instead of relaying.
     NotRun(RefusalReason),
-    /// The answer does not belong to this call or is not the upstream's whole answer.
+    /// The answer belongs to another call or is not the upstream's whole answer, for this reason.
     Foreign(&'static str),
 }
 
-/// Requests of callers and calls of upstreams.
+/// Protocol adapter for calls.
 pub trait CallEdge {
-    /// Reads what a request says of itself.
+    /// Reads the metadata of a request from its head.
     fn words(&self, head: &RequestHead) -> RequestWords;
 
-    /// Writes what an upstream must know of a call into the fields of its request.
+    /// Writes the metadata of a call into the header fields of the request to the upstream.
     fn for_upstream(&self, call: &UpstreamCall<'_>, fields: &mut HeaderMap);
 
-    /// Says what an upstream's answer to the request with the fields `sent` means, on a connection
-    /// with this `history`.
+    /// Classifies an upstream's answer to the request with the header fields `sent`, on a
+    /// connection with this `history`.
     fn judge(&self, sent: &HeaderMap, answer: &ResponseHead, history: History) -> UpstreamAnswer;
 
-    /// The node's own answer as a caller reads it, to the request with `words`.
+    /// Formats an answer of the node itself for a caller whose request has the metadata `words`.
     fn answer(&self, answer: &Answer, words: &RequestWords) -> Response<Bytes>;
 }
 
-/// What an upstream says of itself.
+/// Message of an upstream to its node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum UpstreamMessage {
-    /// It is there.
+    /// The upstream is running and takes calls as announced.
     Announce(Announcement),
-    /// It leaves and shuts down; calls under way may still end.
+    /// The upstream is shutting down and takes no new calls; running calls may still finish.
     Leave(Process),
 }
 
-/// One start of an upstream.
+/// Identity of one start of an upstream.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Process {
-    /// Its own name; `None` where it gives none.
+    /// Upstream's own name of the process; `None` if it gives none.
     pub name: Option<String>,
-    /// When it started, as civil time; `None` where it doesn't say.
+    /// Start of the process as civil time; `None` if it gives none.
     pub started: Option<WallTime>,
 }
 
-/// An upstream's announcement.
+/// Announcement of an upstream, by which its node routes calls to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Announcement {
-    /// Which start of the upstream speaks.
+    /// Start of the upstream that sent the announcement.
     pub process: Process,
-    /// Counts the announcements of one start; `None` where they are not numbered.
+    /// Number of the announcement within the start; `None` if announcements are not numbered.
     pub sequence: Option<u64>,
-    /// The service that it serves; `None` where it doesn't say.
+    /// Service that the upstream belongs to; `None` if it doesn't name it.
     pub service: Option<ServiceName>,
-    /// The version of its software.
+    /// Version of the upstream's software.
     pub version: UpstreamVersion,
-    /// Where it takes calls.
+    /// Address at which the upstream takes calls.
     pub address: std::net::SocketAddr,
-    /// Calls that it runs at once.
+    /// Maximum number of calls that the upstream runs concurrently.
     pub slots: u16,
-    /// Connections that it takes.
+    /// Maximum number of connections that the upstream accepts.
     pub connections: u16,
-    /// How much longer it is slow after its start.
+    /// Remaining warm-up time, in which the upstream answers more slowly.
     pub cold: Duration,
-    /// It is leaving and asks for no new calls.
+    /// Whether the upstream is shutting down and takes no new calls.
     pub draining: bool,
 }
 
-/// What an upstream says of itself.
+/// Protocol adapter for the upstream's announcements and drain requests.
 pub trait UpstreamEdge {
-    /// Whether a request of the upstream is meant for the node itself.
+    /// Returns whether a request of the upstream is a message to the node, and not a call.
     fn is_for_node(&self, head: &RequestHead) -> bool;
 
-    /// Reads a request that is meant for the node.
+    /// Parses a message to the node.
     ///
     /// # Errors
-    /// What is wrong with it, in a sentence.
+    /// Returns a sentence that says why the message is malformed.
     fn read(&self, head: &RequestHead, body: &[u8]) -> Result<UpstreamMessage, String>;
 
-    /// The answer that acknowledges a message, with `in_flight` calls under way.
+    /// Formats the answer that acknowledges a message, with the number of running calls.
     fn acknowledge(&self, in_flight: u16) -> Response<Bytes>;
 }
 
-/// A row that operators wrote.
+/// Parsed row that operators wrote into the platform's table.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorRow {
-    /// A whole configuration: its version and resources, or what is wrong with it.
+    /// Whole configuration: its version and resources, or why the row is malformed.
     Config(Result<(ConfigVersion, Vec<Resource>), String>),
-    /// An order to move a service to another version, or what is wrong with it.
+    /// Order to move a service to another version, or why the row is malformed.
     Release(Result<ReleaseOrder, String>),
-    /// Nothing that this node knows.
+    /// Row of a kind that this node doesn't use.
     Other,
 }
 
-/// An order to move a service's calls to another version.
+/// Order of an operator to move a service's calls to another version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReleaseOrder {
-    /// The service.
+    /// Service whose calls move.
     pub service: ServiceName,
-    /// The version that takes over.
+    /// Version that the calls move to.
     pub to: UpstreamVersion,
     /// Time from the order to the end of the move.
     pub duration: Duration,
 }
 
-/// Where an ordered move stands.
+/// State of an ordered move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseState {
-    /// It is under way.
+    /// The move is in progress.
     Running,
-    /// The version has taken over.
+    /// The version gets all calls of the service.
     Done,
-    /// The version has lost its traffic.
+    /// The version was taken back and gets no calls any more.
     TakenBack,
 }
 
-/// Rows that operators write into the platform's table, and read there.
+/// Protocol adapter for rows of the platform's table that operators write and read.
 pub trait OperatorEdge {
-    /// The prefix of the keys of the rows that operators write.
+    /// Returns the key prefix of the rows that operators write.
     fn prefix(&self) -> &'static str;
 
-    /// Reads a row under the prefix.
+    /// Parses a row whose key has the prefix.
     fn read(&self, key: &str, value: &Value) -> OperatorRow;
 
-    /// The row that tells operators where an order stands: its key and value.
+    /// Returns the key and value of the row that shows operators the state of an order.
     fn status(&self, order: &ReleaseOrder, state: ReleaseState) -> (String, Value);
 }
--- a/crates/sycamore-node/src/edge/native.rs
+++ b/crates/sycamore-node/src/edge/native.rs
@@ -1,4 +1,4 @@
-//! The protocol of `docs/INTERFACES.md`.
+//! Adapters for the native protocol of callers and upstreams, described in `docs/INTERFACES.md`.
 
 use super::{
     Announcement, CallEdge, History, Process, RequestWords, UpstreamAnswer, UpstreamCall,
@@ -15,14 +15,14 @@
 use sycamore_types::headers;
 use sycamore_types::prelude::*;
 
-/// Path of the announcement.
-const ANNOUNCE: &str = "/shift/announce";
-/// Path of the drain.
-const DRAIN: &str = "/shift/drain";
-/// Longest time that a caller may ask for.
+/// Path of an upstream's announcement.
+const ANNOUNCE_PATH: &str = "/shift/announce";
+/// Path of an upstream's drain request.
+const DRAIN_PATH: &str = "/shift/drain";
+/// Maximum timeout that a request can set; a longer one is shortened to it.
 const MAX_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Requests of callers and calls of upstreams.
+/// Native protocol of calls.
 pub struct Calls;
 
 impl CallEdge for Calls {
@@ -57,53 +57,54 @@
     }
 }
 
-/// The class that a request names.
+/// Returns the criticality class that a request names, or the default class.
 pub(crate) fn class(fields: &HeaderMap) -> Criticality {
     text(fields, headers::CRITICALITY).map_or(Criticality::default(), Criticality::from_text)
 }
 
-/// The time that a request names.
+/// Returns the timeout that a request sets, at most [`MAX_TIMEOUT`]; `None` if absent or malformed.
 pub(crate) fn timeout(fields: &HeaderMap) -> Option<Duration> {
     let millis = text(fields, headers::TIMEOUT_MS)?.parse().ok()?;
     Some(Duration::from_millis(millis).min(MAX_TIMEOUT))
 }
 
-/// The field `name` as text.
+/// Returns the first value of the header field `name`; `None` if it is absent or not ASCII text.
 pub(crate) fn text<'a>(fields: &'a HeaderMap, name: &str) -> Option<&'a str> {
     fields.get(name)?.to_str().ok()
 }
 
-/// Sets the field `name`, unless `value` can't be one.
+/// Sets the header field `name`, unless `value` is not a valid field value.
 pub(crate) fn set(fields: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         fields.insert(HeaderName::from_static(name), value);
     }
 }
 
-/// What an upstream says of itself.
+/// Native protocol of the upstream's announcements and drain requests.
 pub struct Upstream;
 
-/// The body of an announcement.
+/// JSON body of an announcement.
 #[derive(Debug, Deserialize)]
-struct Body {
+struct AnnouncementBody {
     version: UpstreamVersion,
     address: SocketAddr,
     slots: u16,
     connections: u16,
+    /// Remaining warm-up time of the upstream in milliseconds; zero if left out.
     #[serde(default)]
     cold_ms: u64,
 }
 
 impl UpstreamEdge for Upstream {
     fn is_for_node(&self, head: &RequestHead) -> bool {
-        head.method == Method::POST && matches!(head.uri.path(), ANNOUNCE | DRAIN)
+        head.method == Method::POST && matches!(head.uri.path(), ANNOUNCE_PATH | DRAIN_PATH)
     }
 
     fn read(&self, head: &RequestHead, body: &[u8]) -> Result<UpstreamMessage, String> {
-        if head.uri.path() == DRAIN {
+        if head.uri.path() == DRAIN_PATH {
             return Ok(UpstreamMessage::Leave(Process::default()));
         }
-        let body: Body = serde_json::from_slice(body).map_err(|err| err.to_string())?;
+        let body: AnnouncementBody = serde_json::from_slice(body).map_err(|err| err.to_string())?;
         Ok(UpstreamMessage::Announce(Announcement {
             process: Process::default(),
             sequence: None,
