--- a/crates/sycamore-node/tests/calls/cancel.rs
+++ b/crates/sycamore-node/tests/calls/cancel.rs
@@ -1,98 +1,108 @@
-//! Callers that leave and deadlines that pass reach the upstream.
+//! Cancellation: disconnects of callers and expired deadlines end calls at the upstream and free
+//! their slots.
 
-use super::world::{field, get, post, run, until, Options, World};
+use super::world::{field, get, post, run, wait_until, Cluster, Options};
 use futures::FutureExt;
 use http::StatusCode;
 use monoio::io::AsyncWriteRentExt;
 use monoio::net::TcpStream;
 use sycamore_types::headers;
 
+/// Without cancellation, the call of a caller that disconnected would keep running and hold its
+/// slot.
 #[test]
-fn a_caller_that_leaves_cancels_its_call_at_the_upstream() {
+fn a_disconnect_cancels_the_call_at_the_upstream() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
-        let address = world.nodes[0].hub.settings.listen.caller;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
+        let address = cluster.nodes[0].hub.settings.listen.caller;
         let mut caller = TcpStream::connect(address).await.unwrap();
         caller.write_all("GET /counter/wait HTTP/1.1\r\nhost: a\r\n\r\n").await.0.unwrap();
-        until(|| world.runs("wait") == 1).await;
+        wait_until(|| cluster.runs("wait") == 1).await;
         drop(caller);
-        until(|| world.nodes[0].upstream.cancelled() == 1).await;
-        until(|| world.nodes[0].calls.load().running == 0).await;
-        world.stop().await;
+        wait_until(|| cluster.nodes[0].upstream.cancelled() == 1).await;
+        wait_until(|| cluster.nodes[0].calls.load().running == 0).await;
+        cluster.stop().await;
     });
 }
 
+/// A call whose deadline passes while it runs must be cancelled at the upstream and be reported as
+/// `unknown`, as it may have had its effect.
 #[test]
 fn a_deadline_ends_the_call_with_an_unknown_outcome() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
         let req = post("/counter/wait").header(headers::TIMEOUT_MS, "60");
-        let resp = world.call(req, "x").await;
+        let resp = cluster.call(req, "x").await;
         assert_eq!(resp.status(), StatusCode::GATEWAY_TIMEOUT);
         assert_eq!(field(&resp, headers::OUTCOME), "unknown");
-        until(|| world.nodes[0].upstream.cancelled() == 1).await;
-        assert_eq!(world.runs("wait"), 1);
-        world.stop().await;
+        wait_until(|| cluster.nodes[0].upstream.cancelled() == 1).await;
+        assert_eq!(cluster.runs("wait"), 1);
+        cluster.stop().await;
     });
 }
 
+/// A queued call whose caller disconnects must leave the queue, and not run later.
 #[test]
-fn a_wait_that_its_caller_leaves_frees_its_place() {
+fn a_disconnect_removes_a_queued_call() {
     run(async {
-        let world = World::start(&Options { nodes: 1, slots: 1, ..Options::default() }).await;
-        let address = world.nodes[0].hub.settings.listen.caller;
-        let first = world.call(get("/counter/wait"), "");
+        let cluster = Cluster::start(&Options { nodes: 1, slots: 1, ..Options::default() }).await;
+        let address = cluster.nodes[0].hub.settings.listen.caller;
+        let first = cluster.call(get("/counter/wait"), "");
         let second = async {
-            until(|| world.runs("wait") == 1).await;
+            wait_until(|| cluster.runs("wait") == 1).await;
             let mut caller = TcpStream::connect(address).await.unwrap();
             caller.write_all("GET /counter/echo HTTP/1.1\r\nhost: a\r\n\r\n").await.0.unwrap();
-            until(|| world.nodes[0].calls.load().queued == 1).await;
+            wait_until(|| cluster.nodes[0].calls.load().queued == 1).await;
             drop(caller);
-            until(|| world.nodes[0].calls.load().queued == 0).await;
-            world.nodes[0].upstream.release();
+            wait_until(|| cluster.nodes[0].calls.load().queued == 0).await;
+            cluster.nodes[0].upstream.release();
         };
         futures::join!(first, second);
-        assert_eq!(world.runs("echo"), 0);
-        world.stop().await;
+        assert_eq!(cluster.runs("echo"), 0);
+        cluster.stop().await;
     });
 }
 
+/// A slot lost at a disconnect at any point of a call would add up until the upstream gets no more
+/// calls.
 #[test]
-fn slots_come_back_when_callers_come_and_go() {
+fn slots_are_released_after_many_disconnects() {
     run(async {
-        let world = World::start(&Options { nodes: 1, slots: 2, ..Options::default() }).await;
-        let address = world.nodes[0].hub.settings.listen.caller;
+        let cluster = Cluster::start(&Options { nodes: 1, slots: 2, ..Options::default() }).await;
+        let address = cluster.nodes[0].hub.settings.listen.caller;
         for _ in 0..40 {
             let mut caller = TcpStream::connect(address).await.unwrap();
             caller.write_all("GET /counter/slow HTTP/1.1\r\nhost: a\r\n\r\n").await.0.unwrap();
             monoio::time::sleep(std::time::Duration::from_millis(1)).await;
             drop(caller);
         }
-        until(|| world.nodes[0].calls.load().running == 0).await;
-        let resp = world.call(get("/counter/echo"), "").await;
+        wait_until(|| cluster.nodes[0].calls.load().running == 0).await;
+        let resp = cluster.call(get("/counter/echo"), "").await;
         assert_eq!(resp.status(), StatusCode::OK);
-        world.stop().await;
+        cluster.stop().await;
     });
 }
 
+/// A closing node must refuse new calls as `not-run`, and wait for the running ones to be answered
+/// whole.
 #[test]
-fn a_drain_of_the_node_takes_nothing_new_and_cuts_nothing() {
+fn a_closing_node_refuses_new_calls_and_finishes_running_ones() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
-        let hub = world.nodes[0].hub.clone();
-        let first = world.call(post("/counter/wait"), "whole");
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
+        let hub = cluster.nodes[0].hub.clone();
+        let first = cluster.call(post("/counter/wait"), "whole");
         let drain = async {
-            until(|| world.runs("wait") == 1).await;
+            wait_until(|| cluster.runs("wait") == 1).await;
             hub.set_phase(sycamore_node::hub::Phase::Closing);
-            let resp = world.try_call(0, post("/counter/echo"), "x").await.unwrap();
+            let resp = cluster.try_call(0, post("/counter/echo"), "x").await.unwrap();
             assert_eq!(field(&resp, headers::OUTCOME), "not-run");
-            assert!(hub.idle().now_or_never().is_none(), "the drain waits for it");
-            world.nodes[0].upstream.release();
+            assert!(hub.idle().now_or_never().is_none(), "the drain waits for the running call");
+            cluster.nodes[0].upstream.release();
             hub.idle().await;
         };
         let (resp, ()) = futures::join!(first, drain);
         assert_eq!(&resp.body()[..], b"whole");
-        assert_eq!(world.runs("echo"), 0);
-        world.stop().await;
+        assert_eq!(cluster.runs("echo"), 0);
+        cluster.stop().await;
     });
 }
--- a/crates/sycamore-node/tests/calls/main.rs
+++ b/crates/sycamore-node/tests/calls/main.rs
@@ -1,4 +1,5 @@
-//! Calls along the whole path: callers, nodes and upstreams on one loop, over loopback.
+//! Integration tests of the call path: callers, nodes and fake upstreams on one event loop,
+//! connected over loopback.
 #![allow(clippy::unwrap_used)]
 
 mod body;
--- a/crates/sycamore-node/tests/calls/metrics.rs
+++ b/crates/sycamore-node/tests/calls/metrics.rs
@@ -1,12 +1,12 @@
-//! What metrics tell of calls.
+//! Metrics of the call path.
 
-use super::world::{get, run, Options, World};
+use super::world::{get, run, Cluster, Options};
 use http::StatusCode;
 use prometheus::{Encoder, TextEncoder};
 
-fn page(world: &World, node: usize) -> String {
+fn page(cluster: &Cluster, node: usize) -> String {
     let mut text = Vec::new();
-    let families = world.nodes[node].hub.registry.gather();
+    let families = cluster.nodes[node].hub.registry.gather();
     TextEncoder::new().encode(&families, &mut text).unwrap();
     String::from_utf8(text).unwrap()
 }
@@ -16,14 +16,15 @@
     line.map_or(0.0, |value| value.parse().unwrap())
 }
 
+/// Each call must be counted once in the metrics of total, waiting and running time.
 #[test]
 fn each_call_is_timed_by_its_route_its_wait_and_its_run() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
         for _ in 0..5 {
-            assert_eq!(world.call(get("/counter/echo"), "").await.status(), StatusCode::OK);
+            assert_eq!(cluster.call(get("/counter/echo"), "").await.status(), StatusCode::OK);
         }
-        let page = page(&world, 0);
+        let page = page(&cluster, 0);
         for series in [
             "sycamoreshift_call_seconds_count{route=\"counter\"}",
             "sycamoreshift_call_wait_seconds_count",
@@ -32,21 +33,22 @@
         ] {
             assert_eq!(value(&page, series), 5.0, "{series} in {page}");
         }
-        world.stop().await;
+        cluster.stop().await;
     });
 }
 
+/// Calls that an upstream doesn't answer must show in the metrics of runs and of failed attempts.
 #[test]
-fn an_upstream_that_breaks_calls_is_seen_by_the_end_of_runs() {
+fn calls_without_an_answer_are_counted_as_broken_runs() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
-        let resp = world.call(get("/counter/close"), "").await;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
+        let resp = cluster.call(get("/counter/close"), "").await;
         assert_eq!(resp.status(), StatusCode::BAD_GATEWAY, "{resp:?}");
-        let page = page(&world, 0);
+        let page = page(&cluster, 0);
         assert!(value(&page, "sycamoreshift_call_run_seconds_count{end=\"broken\"}") >= 1.0);
         assert!(
             value(&page, "sycamoreshift_call_attempt_failures_total{failure=\"unknown\"}") >= 1.0
         );
-        world.stop().await;
+        cluster.stop().await;
     });
 }
--- a/crates/sycamore-node/tests/calls/refuse.rs
+++ b/crates/sycamore-node/tests/calls/refuse.rs
@@ -1,6 +1,6 @@
-//! Refusals say why, when to come back, and that nothing ran.
+//! Refusals: status, reason, `retry-after`, and that a refused call has not run.
 
-use super::world::{field, get, post, run, service, settle, until, version, Options, World};
+use super::world::{field, get, post, run, service, settle, version, wait_until, Cluster, Options};
 use http::StatusCode;
 use monoio::io::{AsyncWriteRentExt, Splitable};
 use std::time::Duration;
@@ -17,83 +17,90 @@
     assert_eq!(field(resp, headers::REASON), reason);
 }
 
+/// A path without a route must get 404 and not be sent to any service.
 #[test]
 fn an_unknown_path_is_refused() {
     run(async {
-        let world = World::start(&Options::default()).await;
-        let resp = world.call(get("/nowhere"), "").await;
+        let cluster = Cluster::start(&Options::default()).await;
+        let resp = cluster.call(get("/nowhere"), "").await;
         assert_refused(&resp, 404, "no-route");
-        world.stop().await;
+        cluster.stop().await;
     });
 }
 
+/// With all slots taken and no queue, a call must be refused at once with `retry-after`, instead of
+/// waiting for its deadline.
 #[test]
-fn a_full_upstream_refuses_at_once_and_says_when_to_come_back() {
+fn a_full_upstream_refuses_at_once_with_retry_after() {
     run(async {
         let limits = Limits { queue: 0, ..Limits::default() };
-        let world =
-            World::start(&Options { nodes: 1, slots: 1, limits, ..Options::default() }).await;
+        let cluster =
+            Cluster::start(&Options { nodes: 1, slots: 1, limits, ..Options::default() }).await;
         settle().await;
-        let first = world.call(get("/counter/wait"), "");
+        let first = cluster.call(get("/counter/wait"), "");
         let second = async {
-            until(|| world.runs("wait") == 1).await;
-            let resp = world.try_call(0, get("/counter/echo"), "").await.unwrap();
+            wait_until(|| cluster.runs("wait") == 1).await;
+            let resp = cluster.try_call(0, get("/counter/echo"), "").await.unwrap();
             assert_refused(&resp, 503, "overloaded");
             assert_eq!(field(&resp, "retry-after"), "1");
-            assert_eq!(world.runs("echo"), 0);
-            world.nodes[0].upstream.release();
+            assert_eq!(cluster.runs("echo"), 0);
+            cluster.nodes[0].upstream.release();
         };
         let (resp, ()) = futures::join!(first, second);
         assert_eq!(resp.status(), StatusCode::OK);
-        world.stop().await;
+        cluster.stop().await;
     });
 }
 
+/// A queued call must be refused after the queue's maximum wait, also if no slot comes free.
 #[test]
-fn a_wait_that_is_too_long_ends_in_a_refusal() {
+fn a_queued_call_is_refused_after_the_maximum_wait() {
     run(async {
         let limits = Limits { queue_time: Duration::from_millis(30), ..Limits::default() };
-        let world =
-            World::start(&Options { nodes: 1, slots: 1, limits, ..Options::default() }).await;
+        let cluster =
+            Cluster::start(&Options { nodes: 1, slots: 1, limits, ..Options::default() }).await;
         settle().await;
-        let first = world.call(get("/counter/wait"), "");
+        let first = cluster.call(get("/counter/wait"), "");
         let second = async {
-            until(|| world.runs("wait") == 1).await;
-            let resp = world.try_call(0, post("/counter/echo"), "x").await.unwrap();
+            wait_until(|| cluster.runs("wait") == 1).await;
+            let resp = cluster.try_call(0, post("/counter/echo"), "x").await.unwrap();
             assert_refused(&resp, 503, "overloaded");
-            world.nodes[0].upstream.release();
+            cluster.nodes[0].upstream.release();
         };
         futures::join!(first, second);
-        assert_eq!(world.runs("echo"), 0);
-        world.stop().await;
+        assert_eq!(cluster.runs("echo"), 0);
+        cluster.stop().await;
     });
 }
 
+/// Calls sent to a draining upstream must be rerouted, also if they are not idempotent, and be
+/// refused as `not-run` once every upstream is draining.
 #[test]
-fn a_draining_upstream_takes_nothing_and_its_calls_go_elsewhere() {
+fn calls_are_rerouted_from_a_draining_upstream() {
     run(async {
-        let world = World::start(&Options::default()).await;
+        let cluster = Cluster::start(&Options::default()).await;
         settle().await;
-        world.nodes[0].hub.upstream.send_modify(|up| up.as_mut().unwrap().draining = true);
+        cluster.nodes[0].hub.upstream.send_modify(|up| up.as_mut().unwrap().draining = true);
         for _ in 0..10 {
-            let resp = world.call(post("/counter/echo"), "x").await;
+            let resp = cluster.call(post("/counter/echo"), "x").await;
             assert_eq!(resp.status(), StatusCode::OK);
         }
-        assert_eq!(world.nodes[0].upstream.runs("echo"), 0);
-        world.nodes[1].hub.upstream.send_modify(|up| up.as_mut().unwrap().draining = true);
-        let resp = world.call(post("/counter/echo"), "x").await;
+        assert_eq!(cluster.nodes[0].upstream.runs("echo"), 0);
+        cluster.nodes[1].hub.upstream.send_modify(|up| up.as_mut().unwrap().draining = true);
+        let resp = cluster.call(post("/counter/echo"), "x").await;
         assert_eq!(field(&resp, headers::OUTCOME), "not-run");
-        assert_eq!(world.runs("echo"), 10);
-        world.stop().await;
+        assert_eq!(cluster.runs("echo"), 10);
+        cluster.stop().await;
     });
 }
 
+/// An upstream whose version was found bad must get no call once its node knows the fact.
 #[test]
-fn a_bad_version_takes_nothing_from_the_moment_its_node_knows() {
+fn an_upstream_of_a_bad_version_gets_no_calls() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
         settle().await;
-        world.nodes[0].hub.raise(Fact::BadVersion {
+        cluster.nodes[0].hub.raise(Fact::BadVersion {
             service: service(),
             version: version("1.0.0"),
             by: MoveId::new("m-1").unwrap(),
@@ -101,60 +108,65 @@
             at: Stamp::default(),
         });
         settle().await;
-        let resp = world.call(get("/counter/echo"), "").await;
+        let resp = cluster.call(get("/counter/echo"), "").await;
         assert_eq!(field(&resp, headers::OUTCOME), "not-run");
-        assert_eq!(world.runs("echo"), 0);
-        world.stop().await;
+        assert_eq!(cluster.runs("echo"), 0);
+        cluster.stop().await;
     });
 }
 
+/// A version in a move with a share of zero must get no call, also if it is the only one running.
 #[test]
-fn an_unproven_version_without_a_share_takes_nothing() {
+fn an_unproven_version_without_a_share_gets_no_calls() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
         let by = Some(MoveId::new("m-1").unwrap());
-        world.publish_shares(&[
+        cluster.publish_shares(&[
             VersionShare { version: version("0.9.0"), share: Share::ALL, by: None },
             VersionShare { version: version("1.0.0"), share: Share::NONE, by },
         ]);
         settle().await;
-        let resp = world.call(get("/counter/echo"), "").await;
+        let resp = cluster.call(get("/counter/echo"), "").await;
         assert_refused(&resp, 503, "no-upstream");
-        assert_eq!(world.runs("echo"), 0);
-        world.stop().await;
+        assert_eq!(cluster.runs("echo"), 0);
+        cluster.stop().await;
     });
 }
 
+/// An upstream that can't be connected to got no byte of the call: the outcome must be `not-run`,
+/// and not `unknown`.
 #[test]
-fn a_dead_upstream_is_a_refusal_since_nothing_was_sent() {
+fn an_unreachable_upstream_is_refused_as_not_run() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
         settle().await;
         let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        world.nodes[0].hub.upstream.send_modify(|up| up.as_mut().unwrap().address = free);
-        let resp = world.call(post("/counter/echo"), "x").await;
+        cluster.nodes[0].hub.upstream.send_modify(|up| up.as_mut().unwrap().address = free);
+        let resp = cluster.call(post("/counter/echo"), "x").await;
         assert_refused(&resp, 503, "no-upstream");
-        world.stop().await;
+        cluster.stop().await;
     });
 }
 
+/// A body declared as longer than the limit must get 413 before it takes up memory or a slot.
 #[test]
 fn bodies_over_the_limit_are_refused_before_they_are_read() {
     run(async {
         let limits = Limits { body_bytes: 100, ..Limits::default() };
-        let world = World::start(&Options { nodes: 1, limits, ..Options::default() }).await;
-        let resp = world.call(post("/counter/echo"), &"x".repeat(101)).await;
+        let cluster = Cluster::start(&Options { nodes: 1, limits, ..Options::default() }).await;
+        let resp = cluster.call(post("/counter/echo"), &"x".repeat(101)).await;
         assert_refused(&resp, 413, "body-too-large");
-        assert_eq!(world.runs("echo"), 0);
-        world.stop().await;
+        assert_eq!(cluster.runs("echo"), 0);
+        cluster.stop().await;
     });
 }
 
+/// Services that call each other in a cycle would do so for ever without the hop limit.
 #[test]
-fn loops_end_at_the_hop_limit() {
+fn call_cycles_end_at_the_hop_limit() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
-        let node = &world.nodes[0];
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
+        let node = &cluster.nodes[0];
         let limit = node.hub.settings.calls.hop_limit;
         let config = sycamore_http::ClientConfig::default();
         let onward = sycamore_http::Client::new(node.hub.settings.listen.upstream, config);
@@ -163,31 +175,34 @@
             let resp = onward.send(req.body("".into()).unwrap()).await.unwrap();
             assert_eq!(resp.status().as_u16(), status);
         }
-        assert_eq!(world.runs("echo"), 1);
-        world.stop().await;
+        assert_eq!(cluster.runs("echo"), 1);
+        cluster.stop().await;
     });
 }
 
+/// A node that reuses an address of another deployment must not run that deployment's calls.
 #[test]
-fn another_deployment_is_refused() {
+fn calls_of_another_deployment_are_refused() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
         let config = sycamore_http::ClientConfig::default();
-        let relay = sycamore_http::Client::new(world.nodes[0].hub.settings.listen.relay, config);
+        let relay = sycamore_http::Client::new(cluster.nodes[0].hub.settings.listen.relay, config);
         let req = get("/counter/echo").header(headers::DEPLOYMENT, "other");
         let resp = relay.send(req.body("".into()).unwrap()).await.unwrap();
         assert_eq!(resp.status(), StatusCode::FORBIDDEN);
-        assert_eq!(world.runs("echo"), 0);
-        world.stop().await;
+        assert_eq!(cluster.runs("echo"), 0);
+        cluster.stop().await;
     });
 }
 
+/// One caller's address must not be able to use up the node's connections, and closed connections
+/// must count no more.
 #[test]
 fn connections_of_one_address_are_bounded_by_the_setting() {
     run(async {
         let calls = CallSettings { connections_per_address: 3, ..CallSettings::default() };
-        let world = World::start(&Options { nodes: 1, calls, ..Options::default() }).await;
-        let caller = world.nodes[0].hub.settings.listen.caller;
+        let cluster = Cluster::start(&Options { nodes: 1, calls, ..Options::default() }).await;
+        let caller = cluster.nodes[0].hub.settings.listen.caller;
         let open = || async {
             let stream = monoio::net::TcpStream::connect(caller).await.unwrap();
             let (read, mut write) = stream.into_split();
@@ -201,14 +216,14 @@
         for _ in 0..3 {
             kept.push(open().await);
         }
-        assert!(kept.iter().all(|(answered, ..)| *answered), "three are allowed");
-        assert!(!open().await.0, "a fourth is not");
+        assert!(kept.iter().all(|(answered, ..)| *answered), "three connections are allowed");
+        assert!(!open().await.0, "a fourth connection is not");
         drop(kept.pop());
         let again = || async { open().await.0 };
         let begun = std::time::Instant::now();
         while !again().await {
-            assert!(begun.elapsed() < Duration::from_secs(5), "room comes back with a close");
+            assert!(begun.elapsed() < Duration::from_secs(5), "a closed connection still counts");
         }
-        world.stop().await;
+        cluster.stop().await;
     });
 }
--- a/crates/sycamore-node/tests/calls/silence.rs
+++ b/crates/sycamore-node/tests/calls/silence.rs
@@ -1,14 +1,14 @@
-//! Connections to nodes and upstreams are probed, so that one that has gone silent is noticed.
+//! Connections to nodes and upstreams that stop transferring data without being closed.
 
-use super::world::{get, run, until, Options, World};
+use super::world::{get, run, wait_until, Cluster, Options};
 use http::StatusCode;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// The timer of a connection that is probed when it is idle, in the kernel's table.
-const PROBED: &str = "02";
+/// Timer code of a connection with TCP keepalive in `/proc/net/tcp`.
+const KEEPALIVE_TIMER: &str = "02";
 
-/// The timers of this machine's connections to `address`, as the kernel's table gives them.
+/// Returns the timer codes in `/proc/net/tcp` of the established connections to `address`.
 fn timers(address: SocketAddr) -> Vec<String> {
     let SocketAddr::V4(address) = address else { unreachable!("the tests use IPv4") };
     let ip = u32::from_le_bytes(Ipv4Addr::octets(address.ip()));
@@ -20,41 +20,45 @@
     ours.map(|row| row[5].split(':').next().unwrap().to_owned()).collect()
 }
 
+/// A pooled connection without TCP keepalive would stay in the pool after its network path broke.
 #[test]
-fn idle_connections_to_upstreams_and_nodes_are_probed() {
+fn idle_connections_to_upstreams_and_nodes_have_keepalive() {
     run(async {
-        let world = World::start(&Options::default()).await;
+        let cluster = Cluster::start(&Options::default()).await;
         for _ in 0..10 {
-            assert_eq!(world.call(get("/counter/echo"), "").await.status(), StatusCode::OK);
+            assert_eq!(cluster.call(get("/counter/echo"), "").await.status(), StatusCode::OK);
         }
-        for node in &world.nodes {
+        for node in &cluster.nodes {
             for address in [node.upstream.address(), node.member.endpoints.relay] {
                 let timers = timers(address);
-                assert!(!timers.is_empty(), "no connection to {address} is kept");
-                assert!(timers.iter().all(|timer| timer == PROBED), "{address}: {timers:?}");
+                assert!(!timers.is_empty(), "no idle connection to {address} is pooled");
+                let all_keepalive = timers.iter().all(|timer| timer == KEEPALIVE_TIMER);
+                assert!(all_keepalive, "timers of connections to {address}: {timers:?}");
             }
         }
-        world.stop().await;
+        cluster.stop().await;
     });
 }
 
+/// Several pooled connections stop answering at once: if only the one in use were dropped, each of
+/// the next calls would run into its deadline on another.
 #[test]
-fn one_call_without_an_answer_closes_the_connections_that_are_as_old() {
+fn one_call_without_an_answer_closes_pooled_connections_of_the_same_age() {
     run(async {
         let timeout = Duration::from_millis(400);
-        let world = World::start(&Options { nodes: 1, timeout, ..Options::default() }).await;
-        let upstream = &world.nodes[0].upstream;
-        let together = (0..4).map(|_| world.call(get("/counter/wait"), ""));
+        let cluster = Cluster::start(&Options { nodes: 1, timeout, ..Options::default() }).await;
+        let upstream = &cluster.nodes[0].upstream;
+        let together = (0..4).map(|_| cluster.call(get("/counter/wait"), ""));
         let release = async {
-            until(|| upstream.most_running() == 4).await;
+            wait_until(|| upstream.most_running() == 4).await;
             upstream.release();
         };
         futures::join!(futures::future::join_all(together), release);
         upstream.mute();
-        let late = world.call(get("/counter/echo"), "").await;
+        let late = cluster.call(get("/counter/echo"), "").await;
         assert_eq!(late.status(), StatusCode::GATEWAY_TIMEOUT);
-        let next = world.call(get("/counter/echo"), "").await;
+        let next = cluster.call(get("/counter/echo"), "").await;
         assert_eq!(next.status(), StatusCode::OK, "{next:?}");
-        world.stop().await;
+        cluster.stop().await;
     });
 }
--- a/crates/sycamore-node/tests/calls/upstream.rs
+++ b/crates/sycamore-node/tests/calls/upstream.rs
@@ -1,4 +1,4 @@
-//! A fake upstream, which does what the last part of a request's path says.
+//! Fake upstream whose behaviour is chosen by the last segment of a request's path.
 
 use bytes::{Bytes, BytesMut};
 use monoio::io::Splitable;
@@ -13,19 +13,22 @@
 
 #[derive(Default)]
 struct Shared {
+    /// Paths of the requests that ran, in order.
     runs: RefCell<Vec<String>>,
+    /// Heads of the requests that ran, in order.
     heads: RefCell<Vec<RequestHead>>,
     running: Cell<usize>,
     most_running: Cell<usize>,
     cancelled: Cell<usize>,
     crashed: Cell<bool>,
     released: Cell<bool>,
+    /// Number of connections opened so far; gives the number of the next one.
     opened: Cell<u64>,
-    /// Connections with a lower number answer nothing any more.
+    /// Number below which connections answer no further request.
     muted: Cell<u64>,
 }
 
-/// A fake upstream.
+/// Fake upstream that listens on loopback.
 pub struct Upstream {
     address: SocketAddr,
     shared: Rc<Shared>,
@@ -44,33 +47,34 @@
         self.address
     }
 
-    /// Requests that ran whose path ends in `name`.
+    /// Returns the number of requests that ran whose path ends in `name`.
     pub fn runs(&self, name: &str) -> usize {
         self.shared.runs.borrow().iter().filter(|path| path.ends_with(name)).count()
     }
 
+    /// Returns the maximum number of requests that ran at the same time.
     pub fn most_running(&self) -> usize {
         self.shared.most_running.get()
     }
 
-    /// Requests whose connection was closed while they ran.
+    /// Returns the number of requests whose connection was closed while they ran.
     pub fn cancelled(&self) -> usize {
         self.shared.cancelled.get()
     }
 
-    /// The field `name` of the last request.
+    /// Returns the header field `name` of the last request.
     pub fn last_field(&self, name: &str) -> Option<String> {
         let heads = self.shared.heads.borrow();
         let value = heads.last()?.headers.get(name)?;
         Some(value.to_str().unwrap().to_owned())
     }
 
-    /// Silences the connections that are open; new ones are served.
+    /// Stops answering on the connections that are open, without closing them; new ones are served.
     pub fn mute(&self) {
         self.shared.muted.set(self.shared.opened.get());
     }
 
-    /// Lets every `wait` end.
+    /// Has every request for `wait` answered, running and later ones.
     pub fn release(&self) {
         self.shared.released.set(true);
     }
@@ -131,6 +135,7 @@
     }
 }
 
+/// Count of a running request, removed on drop.
 struct Running<'a>(&'a Shared);
 
 impl<'a> Running<'a> {
@@ -147,7 +152,8 @@
     }
 }
 
-/// The answer's bytes, and whether the connection is kept; `None` closes it without an answer.
+/// Returns the answer's bytes and whether the connection stays open; `None` closes it without an
+/// answer.
 async fn work(path: &str, body: &[u8], shared: &Shared) -> Option<(Bytes, bool)> {
     let raw = |text: &str, keep| Some((Bytes::copy_from_slice(text.as_bytes()), keep));
     match path.rsplit('/').next().unwrap_or_default() {
--- a/crates/sycamore-node/tests/calls/world.rs
+++ b/crates/sycamore-node/tests/calls/world.rs
@@ -1,4 +1,4 @@
-//! A few nodes and their upstreams on one loop.
+//! Cluster of nodes with fake upstreams on one event loop, and helpers of the tests.
 
 use super::upstream::Upstream;
 use bytes::Bytes;
@@ -17,22 +17,26 @@
 use sycamore_settings::{calls::Calls as CallSettings, node, Settings};
 use sycamore_types::prelude::*;
 
-/// Longest time that a test waits for a condition.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Maximum duration of a test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs `test` on a loop of its own.
+/// Runs `test` on an event loop of its own; panics after [`TEST_TIMEOUT`].
 pub fn run<F: Future>(test: F) -> F::Output {
     let mut runtime =
         RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().expect("runtime starts");
-    runtime.block_on(async { monoio::time::timeout(LIMIT, test).await.expect("test ends in time") })
+    runtime.block_on(async {
+        monoio::time::timeout(TEST_TIMEOUT, test).await.expect("test ends in time")
+    })
 }
 
-/// How a world is built.
+/// Size and configuration of a test cluster.
 #[derive(Clone)]
 pub struct Options {
     pub nodes: usize,
+    /// Concurrent calls that each upstream announces.
     pub slots: u16,
     pub limits: Limits,
+    /// Timeout of the cluster's only route, `/counter`.
     pub timeout: Duration,
     pub calls: CallSettings,
 }
@@ -49,18 +53,19 @@
     }
 }
 
-/// A node with the upstream beside it.
+/// Node with its fake upstream.
 pub struct Node {
     pub hub: Rc<Hub>,
     pub calls: Rc<Calls>,
     pub upstream: Upstream,
     pub member: Member,
+    /// Client of the node's caller listener.
     pub caller: Client,
     tasks: TaskGroup,
 }
 
-/// Nodes of one service, `counter`.
-pub struct World {
+/// Cluster of nodes of one service, `counter`.
+pub struct Cluster {
     pub nodes: Vec<Node>,
 }
 
@@ -76,18 +81,18 @@
     std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-impl World {
+impl Cluster {
     pub async fn start(options: &Options) -> Self {
         let mut nodes = Vec::new();
         for i in 0..options.nodes {
             nodes.push(start_node(i, options).await);
         }
-        let world = Self { nodes };
-        world.publish_members(|_| true);
-        world
+        let cluster = Self { nodes };
+        cluster.publish_members(|_| true);
+        cluster
     }
 
-    /// Tells every node of the members that `keep` takes.
+    /// Sets every node's membership view to the members that satisfy `keep`.
     pub fn publish_members(&self, keep: impl Fn(&Member) -> bool) {
         let members = self.nodes.iter().map(|node| node.member.clone()).filter(|m| keep(m));
         let members = members.map(|member| (member.instance.clone(), member)).collect();
@@ -97,7 +102,7 @@
         }
     }
 
-    /// Tells every node of the shares of `counter`'s versions.
+    /// Sets the shares of `counter`'s versions at every node.
     pub fn publish_shares(&self, shares: &[VersionShare]) {
         let mut table = ShareTable::default();
         table.services.insert(service(), shares.to_vec());
@@ -106,12 +111,12 @@
         }
     }
 
-    /// Calls the first node.
+    /// Sends a request to the first node; panics without a whole answer.
     pub async fn call(&self, req: http::request::Builder, body: &str) -> Response<Bytes> {
-        self.try_call(0, req, body).await.expect("a whole answer comes")
+        self.try_call(0, req, body).await.expect("the first node answers whole")
     }
 
-    /// Calls a node.
+    /// Sends a request to the node with this index.
     pub async fn try_call(
         &self,
         node: usize,
@@ -122,7 +127,7 @@
         self.nodes[node].caller.send(req).await.map_err(|report| *report.current_context())
     }
 
-    /// Times that the upstreams ran requests whose path ends in `name`.
+    /// Returns the number of runs, at all upstreams, of requests whose path ends in `name`.
     pub fn runs(&self, name: &str) -> usize {
         self.nodes.iter().map(|node| node.upstream.runs(name)).sum()
     }
@@ -138,13 +143,13 @@
     }
 }
 
-/// Lets the tasks that follow the hub run.
+/// Waits until the tasks that watch the hub have applied its latest values.
 pub async fn settle() {
     monoio::time::sleep(Duration::from_millis(5)).await;
 }
 
-/// Waits until `condition` holds.
-pub async fn until(condition: impl Fn() -> bool) {
+/// Polls `condition` until it holds; [`run`] bounds the wait.
+pub async fn wait_until(condition: impl Fn() -> bool) {
     while !condition() {
         monoio::time::sleep(Duration::from_millis(2)).await;
     }
@@ -230,7 +235,7 @@
     Request::post(path)
 }
 
-/// The field `name` of an answer, or nothing.
+/// Returns the header field `name` of an answer, empty if absent.
 pub fn field<'a>(resp: &'a Response<Bytes>, name: &str) -> &'a str {
     resp.headers().get(name).map_or("", |value| value.to_str().unwrap())
 }
--- a/crates/sycamore-node/tests/calls/wrong.rs
+++ b/crates/sycamore-node/tests/calls/wrong.rs
@@ -1,103 +1,118 @@
-//! Upstreams that answer wrongly: never a short whole, never another call's answer.
+//! Upstreams with malformed or failing answers: no caller may get a truncated answer as a whole
+//! one, or another call's answer.
 
-use super::world::{field, get, post, run, Options, World};
+use super::world::{field, get, post, run, Cluster, Options};
 use http::StatusCode;
 use sycamore_http::ClientError;
 use sycamore_types::headers;
 
+/// An answer that ends before its declared length or last chunk must break the caller's connection,
+/// and not look complete.
 #[test]
-fn a_cut_answer_is_a_visible_error() {
+fn a_truncated_answer_is_an_error_at_the_caller() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
         for path in ["/counter/cut", "/counter/cut-chunks"] {
-            let answer = world.try_call(0, post(path), "x").await;
+            let answer = cluster.try_call(0, post(path), "x").await;
             assert_eq!(answer.err(), Some(ClientError::Broken), "{path}");
         }
-        assert_eq!(world.runs("cut"), 1);
-        world.stop().await;
+        assert_eq!(cluster.runs("cut"), 1);
+        cluster.stop().await;
     });
 }
 
+/// An answer with both a length and chunked framing, or no answer at all, must become a 502 with
+/// the outcome `unknown`.
 #[test]
-fn answers_with_doubtful_framing_are_not_passed_on() {
+fn answers_with_ambiguous_framing_are_not_relayed() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
         for path in ["/counter/both", "/counter/close"] {
-            let resp = world.call(post(path), "x").await;
+            let resp = cluster.call(post(path), "x").await;
             assert_eq!(resp.status(), StatusCode::BAD_GATEWAY, "{path}");
             assert_eq!(field(&resp, headers::OUTCOME), "unknown");
         }
-        assert_eq!(world.runs("close"), 1, "a non-idempotent call is not sent again");
-        world.stop().await;
+        assert_eq!(cluster.runs("close"), 1, "a non-idempotent call is not sent again");
+        cluster.stop().await;
     });
 }
 
+/// An answer without length and chunks ends with its connection, and must be relayed if the
+/// upstream closes the connection in order.
 #[test]
-fn an_answer_without_a_length_is_whole_where_its_connection_ends_in_order() {
+fn an_answer_without_a_length_ends_with_its_connection() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
-        let resp = world.call(post("/counter/unframed"), "x").await;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
+        let resp = cluster.call(post("/counter/unframed"), "x").await;
         assert_eq!(resp.status(), StatusCode::OK);
-        assert_eq!(world.runs("unframed"), 1);
-        world.stop().await;
+        assert_eq!(cluster.runs("unframed"), 1);
+        cluster.stop().await;
     });
 }
 
+/// An upstream that sends two answers to one request: the second must not be read as the answer to
+/// the next request on the connection.
 #[test]
-fn what_follows_an_answer_never_reaches_another_call() {
+fn a_second_answer_never_reaches_another_call() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
         for i in 0..5 {
-            let resp = world.call(get("/counter/extra"), "").await;
+            let resp = cluster.call(get("/counter/extra"), "").await;
             assert_eq!(&resp.body()[..], b"ok");
             let body = format!("own {i}");
-            let resp = world.call(post("/counter/echo"), &body).await;
+            let resp = cluster.call(post("/counter/echo"), &body).await;
             assert_eq!(resp.body(), body.as_bytes());
         }
-        world.stop().await;
+        cluster.stop().await;
     });
 }
 
+/// Without a retry budget, each call to a service that answers nothing would be sent to every
+/// instance; the budget at the start allows one retry only.
 #[test]
-fn an_idempotent_call_is_tried_again_within_the_budget() {
+fn an_idempotent_call_is_retried_within_the_budget() {
     run(async {
-        let world = World::start(&Options::default()).await;
-        let resp = world.call(get("/counter/close"), "").await;
+        let cluster = Cluster::start(&Options::default()).await;
+        let resp = cluster.call(get("/counter/close"), "").await;
         assert_eq!(resp.status(), StatusCode::BAD_GATEWAY);
-        assert_eq!(world.runs("close"), 2, "one retry was saved up");
-        let resp = world.call(get("/counter/close"), "").await;
+        assert_eq!(cluster.runs("close"), 2, "the budget allows one retry");
+        let resp = cluster.call(get("/counter/close"), "").await;
         assert_eq!(resp.status(), StatusCode::BAD_GATEWAY);
-        assert_eq!(world.runs("close"), 3, "and no more");
-        world.stop().await;
+        assert_eq!(cluster.runs("close"), 3, "the budget is used up");
+        cluster.stop().await;
     });
 }
 
+/// A 503 with `shift-outcome: not-run` is a refusal; the same field on a 200 must be removed, or
+/// the caller would repeat a call that has run.
 #[test]
-fn only_a_refusal_of_the_upstream_itself_counts_as_not_run() {
+fn not_run_is_relayed_only_with_a_refusal() {
     run(async {
-        let world = World::start(&Options { nodes: 1, ..Options::default() }).await;
-        let resp = world.call(post("/counter/shed"), "x").await;
+        let cluster = Cluster::start(&Options { nodes: 1, ..Options::default() }).await;
+        let resp = cluster.call(post("/counter/shed"), "x").await;
         assert_eq!(field(&resp, headers::OUTCOME), "not-run");
         assert_eq!(field(&resp, "retry-after"), "1");
-        let resp = world.call(post("/counter/liar"), "x").await;
+        let resp = cluster.call(post("/counter/liar"), "x").await;
         assert_eq!(resp.status(), StatusCode::OK);
         assert_eq!(field(&resp, headers::OUTCOME), "");
-        world.stop().await;
+        cluster.stop().await;
     });
 }
 
+/// A call that an upstream ran and answered with 500 must not be reported as `not-run`, also after
+/// a retry; a call that is not idempotent must not be retried.
 #[test]
-fn a_call_that_ran_and_failed_is_never_said_not_to_have_run() {
+fn a_call_that_ran_and_failed_is_not_reported_as_not_run() {
     run(async {
-        let world = World::start(&Options::default()).await;
-        let resp = world.call(get("/counter/fail"), "").await;
+        let cluster = Cluster::start(&Options::default()).await;
+        let resp = cluster.call(get("/counter/fail"), "").await;
         assert!(resp.status().is_server_error());
         assert_ne!(resp.status(), StatusCode::SERVICE_UNAVAILABLE);
         assert_ne!(field(&resp, headers::OUTCOME), "not-run");
-        assert_eq!(world.runs("fail"), 2, "an error is tried elsewhere once");
-        let resp = world.call(post("/counter/fail"), "x").await;
+        assert_eq!(cluster.runs("fail"), 2, "an idempotent call is retried once");
+        let resp = cluster.call(post("/counter/fail"), "x").await;
         assert_eq!(resp.status(), StatusCode::INTERNAL_SERVER_ERROR);
-        assert_eq!(world.runs("fail"), 3, "a non-idempotent call is not");
-        world.stop().await;
+        assert_eq!(cluster.runs("fail"), 3, "a non-idempotent call is not retried");
+        cluster.stop().await;
     });
 }
