--- a/crates/sycamore-node/src/calls/beside.rs
+++ b/crates/sycamore-node/src/calls/beside.rs
@@ -48,7 +48,7 @@
         let answer = Answer::refused(RefusalReason::NoUpstream, DEFAULT_RETRY_AFTER);
         return refuse(state, inbound, msg, answer).await;
     };
-    let run = Run::new(state, slot, meta, &upstream, inbound.words.id.clone());
+    let run = Run::new(state, slot, meta, &upstream, inbound.info.id.clone());
     run.exchange(inbound, msg, stream).await
 }
 
@@ -62,7 +62,7 @@
 ) -> std::io::Result<()> {
     inbound.closes |= !msg.is_body_read() && !msg.awaits_continue();
     state.metrics.count_answer(answer.outcome.as_str(), &answer.reason);
-    journal::log_own_answer(state, inbound.words.id.as_ref(), &answer);
+    journal::log_own_answer(state, inbound.info.id.as_ref(), &answer);
     let mut resp = answer.to_response();
     add_load(state, resp.headers_mut());
     super::answer::respond(inbound, &resp).await
@@ -183,7 +183,8 @@
         calls.for_upstream(&call, &mut head.headers);
         let (history, sent_at) = (stream.history, Instant::now());
         match send(Some(&mut *inbound), msg, &mut stream, head, false, left).await {
-            Ok(answered) => match calls.judge(&msg.head.headers, &answered.head, history) {
+            Ok(answered) => match calls.classify_answer(&msg.head.headers, &answered.head, history)
+            {
                 UpstreamAnswer::Ran => self.relay(inbound, stream, answered, false).await,
                 UpstreamAnswer::Shed => self.relay(inbound, stream, answered, true).await,
                 UpstreamAnswer::NotRun(reason) => {
--- a/crates/sycamore-node/src/calls/forward.rs
+++ b/crates/sycamore-node/src/calls/forward.rs
@@ -104,11 +104,11 @@
     answer: &Answer,
 ) -> std::io::Result<()> {
     state.metrics.count_answer(answer.outcome.as_str(), &answer.reason);
-    journal::log_own_answer(state, inbound.words.id.as_ref(), answer);
+    journal::log_own_answer(state, inbound.info.id.as_ref(), answer);
     let resp = match inbound.listener {
         ListenerKind::Relay => answer.to_response(),
         ListenerKind::Caller | ListenerKind::Upstream => {
-            state.edges.calls.answer(answer, &inbound.words)
+            state.edges.calls.answer(answer, &inbound.info)
         }
     };
     respond(inbound, &resp).await
@@ -208,7 +208,7 @@
 }
 
 fn record_failed_attempt(state: &State, out: &Call<'_>, choice: &Choice, failure: AttemptFailure) {
-    let id = state.edges.calls.words(&out.msg.head).id;
+    let id = state.edges.calls.request_info(&out.msg.head).id;
     let saved = state.with_retry_budget(&out.meta.service, out.retry, |budget| budget.saved());
     state.metrics.count_failed_attempt(&out.meta.service, failure.as_str(), saved);
     journal::log_failed_attempt(state, id.as_ref(), out.meta, choice, failure, saved);
@@ -399,7 +399,7 @@
         Relayed::Reusable | Relayed::Whole => {
             state.metrics.count_answer("answered", "");
             state.metrics.observe_call(&meta.route, state.now().since(meta.received_at));
-            let id = inbound.words.id.as_ref();
+            let id = inbound.info.id.as_ref();
             journal::log_answered_call(state, id, meta, &instance, status, load);
             Ok(())
         }
--- a/crates/sycamore-node/src/calls/message.rs
+++ b/crates/sycamore-node/src/calls/message.rs
@@ -2,7 +2,7 @@
 
 use super::listen::ListenerKind;
 use super::pool::Stream;
-use crate::edge::RequestWords;
+use crate::edge::RequestInfo;
 use bytes::{Bytes, BytesMut};
 use http::header;
 use monoio::io::{OwnedReadHalf, OwnedWriteHalf, Splitable};
@@ -29,14 +29,14 @@
     /// Listener that accepted the connection.
     pub(super) listener: ListenerKind,
     /// Caller's identifier, timeout, class and name from the current request's headers.
-    pub(super) words: RequestWords,
+    pub(super) info: RequestInfo,
 }
 
 impl Inbound {
     pub(super) fn new(stream: TcpStream, listener: ListenerKind) -> Self {
         let Stream { reader, writer, .. } = Stream::from_split(stream.into_split());
-        let words = RequestWords::default();
-        Self { reader, writer, closes: false, head_only: false, listener, words }
+        let info = RequestInfo::default();
+        Self { reader, writer, closes: false, head_only: false, listener, info }
     }
 
     /// Reads the head of the next request and removes its hop-by-hop header fields.
--- a/crates/sycamore-node/src/calls/pipeline.rs
+++ b/crates/sycamore-node/src/calls/pipeline.rs
@@ -9,7 +9,7 @@
 use super::meta::CallMeta;
 use super::serve;
 use super::state::State;
-use crate::edge::RequestWords;
+use crate::edge::RequestInfo;
 use crate::hub::{InFlight, Phase};
 use crate::tasks::Stop;
 use futures::future::{select, Either, LocalBoxFuture};
@@ -27,7 +27,7 @@
 
 /// Concurrent call that has an answer, not yet sent to the caller.
 struct FinishedCall {
-    words: RequestWords,
+    info: RequestInfo,
     /// Identity of the call; `None` if the request was refused before it got one.
     meta: Option<CallMeta>,
     forwarded: Forwarded,
@@ -158,9 +158,9 @@
     peer: SocketAddr,
     closes: bool,
 ) -> LocalBoxFuture<'a, FinishedCall> {
-    let words = state.edges.calls.words(&msg.head);
+    let info = state.edges.calls.request_info(&msg.head);
     let in_flight = state.hub.call_in_flight();
-    let identified = serve::identify_call(state, &mut msg, &words, peer, inbound.listener);
+    let identified = serve::identify_call(state, &mut msg, &info, peer, inbound.listener);
     Box::pin(async move {
         let (meta, forwarded) = match identified {
             Err(answer) => (None, Forwarded::Own(answer)),
@@ -170,7 +170,7 @@
                 (Some(meta), forwarded)
             }
         };
-        FinishedCall { words, meta, forwarded, closes, _in_flight: in_flight }
+        FinishedCall { info, meta, forwarded, closes, _in_flight: in_flight }
     })
 }
 
@@ -186,7 +186,7 @@
 }
 
 async fn answer(state: &State, inbound: &mut Inbound, call: FinishedCall) -> std::io::Result<()> {
-    inbound.words = call.words;
+    inbound.info = call.info;
     inbound.closes = call.closes;
     inbound.head_only = false;
     match (call.forwarded, call.meta) {
--- a/crates/sycamore-node/src/calls/serve.rs
+++ b/crates/sycamore-node/src/calls/serve.rs
@@ -13,7 +13,7 @@
 use super::meta::{self, CallMeta, Depth};
 use super::pipeline;
 use super::state::State;
-use crate::edge::RequestWords;
+use crate::edge::RequestInfo;
 use crate::hub::Phase;
 use crate::tasks::Stop;
 use http::{header, Method, StatusCode, Version};
@@ -105,13 +105,13 @@
     }
     let mut msg = match read {
         Err(err) => {
-            inbound.words = RequestWords::default();
+            inbound.info = RequestInfo::default();
             return reject(state, inbound, &err).await;
         }
         Ok(msg) => msg,
     };
     inbound.head_only = msg.head.method == Method::HEAD;
-    inbound.words = state.edges.calls.words(&msg.head);
+    inbound.info = state.edges.calls.request_info(&msg.head);
     match inbound.listener {
         ListenerKind::Relay => serve_relayed(state, inbound, &mut msg).await,
         ListenerKind::Upstream if state.edges.upstream.is_for_node(&msg.head) => {
@@ -156,8 +156,8 @@
     mut msg: Message,
     peer: SocketAddr,
 ) -> std::io::Result<()> {
-    let words = inbound.words.clone();
-    let (meta, retry) = match identify_call(state, &mut msg, &words, peer, inbound.listener) {
+    let info = inbound.info.clone();
+    let (meta, retry) = match identify_call(state, &mut msg, &info, peer, inbound.listener) {
         Ok(identified) => identified,
         Err(answer) => {
             inbound.closes |= !msg.is_body_read();
@@ -199,7 +199,7 @@
 pub(super) fn identify_call(
     state: &State,
     msg: &mut Message,
-    words: &RequestWords,
+    info: &RequestInfo,
     peer: SocketAddr,
     listener: ListenerKind,
 ) -> Result<(CallMeta, RetryPolicy), Answer> {
@@ -208,7 +208,7 @@
         ListenerKind::Caller | ListenerKind::Relay => Depth::default(),
     };
     msg.strip_internal();
-    let (meta, retry) = route_call(state, msg, words, peer, depth)?;
+    let (meta, retry) = route_call(state, msg, info, peer, depth)?;
     match msg.body_len() {
         Some(0) => fingerprint_call(state, msg, meta).map(|meta| (meta, retry)),
         _ => Ok((meta, retry)),
@@ -240,7 +240,7 @@
 fn route_call(
     state: &State,
     msg: &Message,
-    words: &RequestWords,
+    info: &RequestInfo,
     peer: SocketAddr,
     depth: Depth,
 ) -> Result<(CallMeta, RetryPolicy), Answer> {
@@ -270,17 +270,17 @@
         let detail = format!("the body exceeds the limit of {max_bytes} bytes");
         return Err(Answer::rejected(status, "body-too-large", detail));
     }
-    let time = words.timeout.map_or(route.timeout, |time| time.min(max_timeout(route)));
+    let time = info.timeout.map_or(route.timeout, |time| time.min(max_timeout(route)));
     let waited =
-        words.timeout.map_or(Duration::ZERO, |time| state.estimate_waited(&route.name, time));
+        info.timeout.map_or(Duration::ZERO, |time| state.estimate_waited(&route.name, time));
     let now = state.now();
     let meta = CallMeta {
         call: state.new_call_id(),
         service: name.clone(),
         route: route.name.clone(),
         fingerprint: Fingerprint(0),
-        caller: caller_hash(words, peer),
-        class: route.policy.rank.map_or(words.class, Criticality::from_rank),
+        caller: caller_hash(info, peer),
+        class: route.policy.rank.map_or(info.class, Criticality::from_rank),
         depth: Depth { level: depth.level + 1, ..depth },
         deadline: now + time,
         received_at: now,
@@ -320,8 +320,8 @@
 }
 
 /// Returns a hash of the caller's name, or of its IP address if the request names no caller.
-fn caller_hash(words: &RequestWords, peer: SocketAddr) -> u64 {
-    let hash = match &words.caller {
+fn caller_hash(info: &RequestInfo, peer: SocketAddr) -> u64 {
+    let hash = match &info.caller {
         Some(name) => ContentHash::of(name.as_bytes()),
         None => ContentHash::of(peer.ip().to_string().as_bytes()),
     };
--- a/crates/sycamore-node/src/edge/mod.rs
+++ b/crates/sycamore-node/src/edge/mod.rs
@@ -47,7 +47,7 @@
 
 /// Metadata of a request from its header fields.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RequestWords {
+pub struct RequestInfo {
     /// Caller's identifier of the request, `None` if it has none; an answer that carries another
     /// one belongs to another request.
     pub id: Option<HeaderValue>,
@@ -97,17 +97,22 @@
 /// Protocol adapter for calls.
 pub trait CallEdge {
     /// Reads the metadata of a request from its head.
-    fn words(&self, head: &RequestHead) -> RequestWords;
+    fn request_info(&self, head: &RequestHead) -> RequestInfo;
 
     /// Writes the metadata of a call into the header fields of the request to the upstream.
     fn for_upstream(&self, call: &UpstreamCall<'_>, fields: &mut HeaderMap);
 
     /// Classifies an upstream's answer to the request with the header fields `sent`, on a
     /// connection with this `history`.
-    fn judge(&self, sent: &HeaderMap, answer: &ResponseHead, history: History) -> UpstreamAnswer;
-
-    /// Formats an answer of the node itself for a caller whose request has the metadata `words`.
-    fn answer(&self, answer: &Answer, words: &RequestWords) -> Response<Bytes>;
+    fn classify_answer(
+        &self,
+        sent: &HeaderMap,
+        answer: &ResponseHead,
+        history: History,
+    ) -> UpstreamAnswer;
+
+    /// Formats an answer of the node itself for a caller whose request has the metadata `info`.
+    fn answer(&self, answer: &Answer, info: &RequestInfo) -> Response<Bytes>;
 }
 
 /// Message of an upstream to its node.
--- a/crates/sycamore-node/src/edge/native.rs
+++ b/crates/sycamore-node/src/edge/native.rs
@@ -1,7 +1,7 @@
 //! Adapters for the native protocol of callers and upstreams, described in `docs/INTERFACES.md`.
 
 use super::{
-    Announcement, CallEdge, History, Process, RequestWords, UpstreamAnswer, UpstreamCall,
+    Announcement, CallEdge, History, Process, RequestInfo, UpstreamAnswer, UpstreamCall,
     UpstreamEdge, UpstreamMessage,
 };
 use crate::calls::Answer;
@@ -26,9 +26,9 @@
 pub struct Calls;
 
 impl CallEdge for Calls {
-    fn words(&self, head: &RequestHead) -> RequestWords {
+    fn request_info(&self, head: &RequestHead) -> RequestInfo {
         let fields = &head.headers;
-        RequestWords {
+        RequestInfo {
             id: fields.get(headers::REQUEST).cloned(),
             timeout: timeout(fields),
             class: class(fields),
@@ -42,7 +42,7 @@
         set(fields, headers::TIMEOUT_MS, &left.to_string());
     }
 
-    fn judge(&self, _: &HeaderMap, answer: &ResponseHead, _: History) -> UpstreamAnswer {
+    fn classify_answer(&self, _: &HeaderMap, answer: &ResponseHead, _: History) -> UpstreamAnswer {
         let is_shed = answer.status == StatusCode::SERVICE_UNAVAILABLE
             && text(&answer.headers, headers::OUTCOME) == Some("not-run")
             && answer.headers.contains_key(header::RETRY_AFTER);
@@ -52,7 +52,7 @@
         }
     }
 
-    fn answer(&self, answer: &Answer, _: &RequestWords) -> Response<Bytes> {
+    fn answer(&self, answer: &Answer, _: &RequestInfo) -> Response<Bytes> {
         answer.to_response()
     }
 }
