--- a/crates/sycamore-node/src/calls/exchange.rs
+++ b/crates/sycamore-node/src/calls/exchange.rs
@@ -80,7 +80,7 @@
     };
     let (head, is_sent) = timeout(left, sent).await.map_err(|_| Failure::Deadline)??;
     let framing = response_framing(&head, &method).map_err(|_| Failure::Broken)?;
-    // The request must have gone out whole, or its rest would be taken for the next one.
+    // After a partly sent request, the next one would be read as the rest of its body.
     let reusable =
         is_sent && framing != Framing::UntilClose && !wants_close(&head.headers, head.version);
     Ok(AnswerHead { head, framing, reusable })
--- a/crates/sycamore-node/src/calls/mod.rs
+++ b/crates/sycamore-node/src/calls/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A call arrives at the callers' listener, or at the upstream's listener when the upstream itself
 //! makes a call. The node relays it to the node of the chosen upstream, where it is admitted and
-//! sent to that upstream; the answer returns along the same path. [`forward`] handles the calling
-//! side, [`beside`] the upstream's side.
+//! sent to that upstream; the answer returns along the same path. `forward` handles the calling
+//! side, `beside` the upstream's side.
 
 mod announce;
 mod answer;
