--- a/crates/sycamore-node/src/config/fetch.rs
+++ b/crates/sycamore-node/src/config/fetch.rs
@@ -81,7 +81,7 @@
 /// The peer that told of the head, which holds a fetch until it has the objects itself; after a
 /// miss there, a random peer, half of the time one in the own data centre.
 fn choose_peer(driver: &Driver, head: ConfigHead) -> Option<SocketAddr> {
-    let teller = driver.hub.facts.head_teller(&head);
+    let teller = driver.hub.facts.head_source(&head);
     teller.filter(|_| !driver.missed(head)).or_else(|| random_peer(driver))
 }
 
--- a/crates/sycamore-node/src/config/metrics.rs
+++ b/crates/sycamore-node/src/config/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of configurations and of the platform.
 
-use crate::hub::{raise, Meter};
+use crate::hub::{raise_to, Meter};
 use prometheus::{Gauge, IntCounter, IntCounterVec, IntGauge, Registry, Result};
 use sycamore_platform::http::Traffic;
 use sycamore_types::prelude::*;
@@ -90,10 +90,10 @@
             ("throttled", &traffic.throttled),
         ];
         for (kind, count) in counts {
-            raise(&self.requests.with_label_values(&[kind]), count.get());
+            raise_to(&self.requests.with_label_values(&[kind]), count.get());
         }
-        raise(&self.bytes.with_label_values(&["out"]), traffic.sent.get());
-        raise(&self.bytes.with_label_values(&["in"]), traffic.received.get());
+        raise_to(&self.bytes.with_label_values(&["out"]), traffic.sent.get());
+        raise_to(&self.bytes.with_label_values(&["in"]), traffic.received.get());
     }
 }
 
--- a/crates/sycamore-node/src/hub/dependency.rs
+++ b/crates/sycamore-node/src/hub/dependency.rs
@@ -70,7 +70,7 @@
     }
 
     /// Time for which `dependency` has been lost at `now`.
-    pub fn away(&self, now: Time, dependency: Dependency) -> Option<Duration> {
+    pub fn lost_for(&self, now: Time, dependency: Dependency) -> Option<Duration> {
         self.lost_since(dependency).get().map(|since| now.since(since))
     }
 
--- a/crates/sycamore-node/src/hub/facts.rs
+++ b/crates/sycamore-node/src/hub/facts.rs
@@ -15,7 +15,7 @@
     known: watch::Sender<Arc<BTreeMap<FactKey, Fact>>>,
     fresh: RefCell<Vec<Fact>>,
     raised: watch::Sender<u64>,
-    head_teller: Cell<Option<(ConfigHead, SocketAddr)>>,
+    head_source: Cell<Option<(ConfigHead, SocketAddr)>>,
 }
 
 impl Default for Facts {
@@ -24,7 +24,7 @@
             known: watch::Sender::new(Arc::default()),
             fresh: RefCell::default(),
             raised: watch::Sender::new(0),
-            head_teller: Cell::new(None),
+            head_source: Cell::new(None),
         }
     }
 }
@@ -58,14 +58,14 @@
         };
         let new = self.learn(fact);
         if let (true, Some(head)) = (new, head) {
-            self.head_teller.set(Some((head, teller)));
+            self.head_source.set(Some((head, teller)));
         }
         new
     }
 
     /// The peer that told of `head` first; it was nearer to where the head was accepted.
-    pub fn head_teller(&self, head: &ConfigHead) -> Option<SocketAddr> {
-        self.head_teller.get().filter(|(told, _)| told == head).map(|(_, teller)| teller)
+    pub fn head_source(&self, head: &ConfigHead) -> Option<SocketAddr> {
+        self.head_source.get().filter(|(told, _)| told == head).map(|(_, teller)| teller)
     }
 
     /// Keeps a fact that a peer told. Gives whether it told something new.
@@ -99,7 +99,7 @@
     }
 
     /// Takes the facts raised on this node that are still to be spread.
-    pub fn take_fresh(&self) -> Vec<Fact> {
+    pub fn take_unsent(&self) -> Vec<Fact> {
         std::mem::take(&mut self.fresh.borrow_mut())
     }
 }
--- a/crates/sycamore-node/src/hub/meter.rs
+++ b/crates/sycamore-node/src/hub/meter.rs
@@ -82,6 +82,6 @@
 }
 
 /// Raises `counter` to `total`, counted elsewhere.
-pub fn raise(counter: &IntCounter, total: u64) {
+pub fn raise_to(counter: &IntCounter, total: u64) {
     counter.inc_by(total.saturating_sub(counter.get()));
 }
--- a/crates/sycamore-node/src/hub/mod.rs
+++ b/crates/sycamore-node/src/hub/mod.rs
@@ -9,7 +9,7 @@
 pub use clock::Clock;
 pub use dependency::{Dependencies, Dependency};
 pub use facts::Facts;
-pub use meter::{raise, Meter};
+pub use meter::{raise_to, Meter};
 
 use crate::edge::ReleaseOrder;
 use crate::timeline::Recorder;
--- a/crates/sycamore-node/src/peers/metrics.rs
+++ b/crates/sycamore-node/src/peers/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of membership and of traffic between nodes.
 
-use crate::hub::{raise, Meter};
+use crate::hub::{raise_to, Meter};
 use prometheus::{IntCounter, IntCounterVec, IntGaugeVec, Registry, Result};
 use sycamore_peer::Counters;
 use sycamore_types::prelude::*;
@@ -50,13 +50,13 @@
 
     /// Takes over the counts of the sockets.
     pub(super) fn traffic(&self, counters: &Counters) {
-        raise(&self.bytes.with_label_values(&["in"]), counters.bytes_in());
-        raise(&self.bytes.with_label_values(&["out"]), counters.bytes_out());
+        raise_to(&self.bytes.with_label_values(&["in"]), counters.bytes_in());
+        raise_to(&self.bytes.with_label_values(&["out"]), counters.bytes_out());
         let connections = |kind| self.connections.with_label_values(&[kind]);
-        raise(&connections("accepted"), counters.connections_in());
-        raise(&connections("opened"), counters.connections_out());
-        raise(&connections("refused"), counters.connections_refused());
-        raise(&self.refused, counters.refused());
+        raise_to(&connections("accepted"), counters.connections_in());
+        raise_to(&connections("opened"), counters.connections_out());
+        raise_to(&connections("refused"), counters.connections_refused());
+        raise_to(&self.refused, counters.refused());
     }
 
     /// Counts the members in `view`.
--- a/crates/sycamore-node/src/peers/tasks.rs
+++ b/crates/sycamore-node/src/peers/tasks.rs
@@ -84,7 +84,7 @@
 async fn follow_facts(driver: Rc<Driver>) {
     let mut raised = driver.hub.facts.raised();
     loop {
-        for fact in driver.hub.facts.take_fresh() {
+        for fact in driver.hub.facts.take_unsent() {
             driver.input(Input::Raise(fact));
         }
         if raised.changed().await.is_err() {
--- a/crates/sycamore-node/src/run.rs
+++ b/crates/sycamore-node/src/run.rs
@@ -31,7 +31,7 @@
     /// Signals could not be caught.
     Signals,
     /// A slice could not start; holds its name.
-    Slice(&'static str),
+    Subsystem(&'static str),
 }
 
 impl fmt::Display for RunError {
@@ -39,7 +39,7 @@
         match self {
             RunError::Runtime => f.write_str("the event loop could not be built"),
             RunError::Signals => f.write_str("signals could not be caught"),
-            RunError::Slice(name) => write!(f, "the {name} could not be started"),
+            RunError::Subsystem(name) => write!(f, "the {name} could not be started"),
         }
     }
 }
@@ -94,11 +94,11 @@
     let listener = TaskGroup::default();
     if let Some(addr) = hub.settings.listen.ready {
         readiness::start(&hub, &listener, addr, edges.readiness_path)
-            .change_context(RunError::Slice("readiness listener"))?;
+            .change_context(RunError::Subsystem("readiness listener"))?;
     }
     operator::start(Rc::new(node), &listener)
         .await
-        .change_context(RunError::Slice("operators' listener"))?;
+        .change_context(RunError::Subsystem("operators' listener"))?;
     info!(hub.log, "node listens"; "caller" => %hub.settings.listen.caller);
     while signals.next().await == Signal::Reload {
         reload(&hub, source.path.as_deref());
@@ -118,21 +118,23 @@
     edges: &Edges,
 ) -> Result<Node, Report<RunError>> {
     let platform = Platform::new(&hub.settings.platform, edges.store.clone(), &hub.registry)
-        .change_context(RunError::Slice("platform"))?;
+        .change_context(RunError::Subsystem("platform"))?;
     let platform = Rc::new(platform);
     let peers = peers::start(hub, tasks, &platform)
         .await
-        .change_context(RunError::Slice("peer listener"))?;
+        .change_context(RunError::Subsystem("peer listener"))?;
     let config = config::start(hub, tasks, &platform, &peers, edges.operators.clone())
         .await
-        .change_context(RunError::Slice("configuration"))?;
+        .change_context(RunError::Subsystem("configuration"))?;
     let moves = moves::start(hub, tasks, &platform, &peers, edges.operators.clone())
         .await
-        .change_context(RunError::Slice("moves"))?;
-    timeline::start(hub, tasks, &platform).await.change_context(RunError::Slice("time line"))?;
+        .change_context(RunError::Subsystem("moves"))?;
+    timeline::start(hub, tasks, &platform)
+        .await
+        .change_context(RunError::Subsystem("time line"))?;
     let calls = calls::start(hub, calls, edges)
         .await
-        .change_context(RunError::Slice("callers' listener"))?;
+        .change_context(RunError::Subsystem("callers' listener"))?;
     Ok(Node { hub: hub.clone(), platform, peers, config, moves, calls })
 }
 
--- a/crates/sycamore-node/tests/hub.rs
+++ b/crates/sycamore-node/tests/hub.rs
@@ -52,10 +52,10 @@
     assert!(hub.facts.learn_from(head(2), first));
     assert!(!hub.facts.learn_from(head(2), second));
     assert!(!hub.facts.learn_from(head(1), second));
-    assert_eq!(hub.facts.head_teller(&new), Some(first));
-    assert_eq!(hub.facts.head_teller(&old), None);
+    assert_eq!(hub.facts.head_source(&new), Some(first));
+    assert_eq!(hub.facts.head_source(&old), None);
     hub.raise(head(3));
-    assert_eq!(hub.facts.head_teller(&new), Some(first));
+    assert_eq!(hub.facts.head_source(&new), Some(first));
 }
 
 #[test]
@@ -64,8 +64,8 @@
     hub.facts.learn(head(1));
     hub.raise(head(2));
     hub.raise(head(2));
-    assert_eq!(hub.facts.take_fresh(), [head(2)]);
-    assert!(hub.facts.take_fresh().is_empty());
+    assert_eq!(hub.facts.take_unsent(), [head(2)]);
+    assert!(hub.facts.take_unsent().is_empty());
 }
 
 #[test]
@@ -123,8 +123,11 @@
     hub.dependencies.lost(log, at(2), Dependency::Platform, "no answer");
     hub.dependencies.lost(log, at(3), Dependency::Platform, "no answer");
     assert_eq!(up(&hub), 0.0);
-    assert_eq!(hub.dependencies.away(at(5), Dependency::Platform), Some(Duration::from_secs(3)));
-    assert_eq!(hub.dependencies.away(at(5), Dependency::Upstream), None);
+    assert_eq!(
+        hub.dependencies.lost_for(at(5), Dependency::Platform),
+        Some(Duration::from_secs(3))
+    );
+    assert_eq!(hub.dependencies.lost_for(at(5), Dependency::Upstream), None);
     hub.dependencies.reached(log, at(6), Dependency::Platform);
-    assert_eq!(hub.dependencies.away(at(7), Dependency::Platform), None);
+    assert_eq!(hub.dependencies.lost_for(at(7), Dependency::Platform), None);
 }
