--- a/crates/sycamore-node/src/config/accept.rs
+++ b/crates/sycamore-node/src/config/accept.rs
@@ -1,4 +1,5 @@
-//! Accepting a configuration: the operators' command `config-apply`.
+//! The operator command `config-apply`: validates a bundle, stores its objects and commits its
+//! head.
 
 use super::driver::Driver;
 use crate::operator::OperatorError;
@@ -13,10 +14,10 @@
 use sycamore_platform::{propose, Error, Objects, Proposal, Row, Settled, Table};
 use sycamore_types::prelude::*;
 
-/// Tries of a request to the platform before the command fails.
-const TRIES: u32 = 4;
+/// Attempts at one platform request before the command fails.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// The command's body.
+/// Body of the command `config-apply`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Request {
@@ -27,7 +28,7 @@
     resources: Value,
 }
 
-/// The command's answer.
+/// Answer to the command `config-apply`: the head that was committed.
 #[derive(Serialize)]
 struct Accepted {
     version: ConfigVersion,
@@ -40,7 +41,7 @@
     }
 }
 
-/// The head row as read, with what it says.
+/// Current head row, raw and decoded; both fields are `None` while the table has no head row.
 struct Current {
     row: Option<Row>,
     stamped: Option<Stamped<HeadRow>>,
@@ -52,30 +53,34 @@
     }
 }
 
-/// Checks the bundle in `body` and has it accepted by compare-and-set on the head row.
+/// Validates the bundle in `body`, stores it and commits it by compare-and-set on the head row.
 ///
 /// # Errors
-/// [`OperatorError`] where the bundle is faulty, somebody else won or the platform is out.
+/// [`OperatorError`] if the bundle is invalid, another change was committed first or the platform
+/// is unavailable.
 pub(super) async fn accept(driver: &Driver, body: &[u8]) -> Result<Value, OperatorError> {
     let request: Request =
         serde_json::from_slice(body).map_err(|e| OperatorError::bad_input(e.to_string()))?;
     let bundle = Bundle::from_json(&request.resources).map_err(|faults| bad_bundle(&faults))?;
     let current = read_current(driver).await?;
     if let Some(version) = current.stamped.as_ref().and_then(|row| accepted_by(row, request.op)) {
-        // The same operation was accepted before and its answer was lost.
+        // This operation was committed by an earlier attempt whose answer was lost.
         return answer(Encoded::new(bundle.resources(), version).head);
     }
     check_expected(&request, &current)?;
     let encoded = Encoded::new(bundle.resources(), current.version().next());
     let pack = encoded.pack();
     if pack.len() > MAX_PACK_BYTES {
-        let error = format!("{} bytes, at most {MAX_PACK_BYTES} are allowed", pack.len());
+        let size = pack.len();
+        let error = format!(
+            "the encoded configuration has {size} bytes; at most {MAX_PACK_BYTES} are allowed"
+        );
         return Err(OperatorError::bad_input(error));
     }
     let key = object_key(encoded.head.manifest);
-    retry(|| driver.platform.http().put(&key, pack.clone())).await.map_err(unchanged)?;
-    settle(driver, &request, &current, encoded.head).await?;
-    driver.given(encoded.head, pack);
+    retry(|| driver.platform.http().put(&key, pack.clone())).await.map_err(not_committed)?;
+    commit_head(driver, &request, &current, encoded.head).await?;
+    driver.accept_pack(encoded.head, pack);
     answer(encoded.head)
 }
 
@@ -87,13 +92,13 @@
 }
 
 async fn read_current(driver: &Driver) -> Result<Current, OperatorError> {
-    let row = retry(|| driver.platform.http().get(HEAD_KEY)).await.map_err(unchanged)?;
+    let row = retry(|| driver.platform.http().get(HEAD_KEY)).await.map_err(not_committed)?;
     let Some(row) = row else {
         return Ok(Current { row: None, stamped: None });
     };
     match HeadRow::read(&row.value) {
         Some(stamped) => Ok(Current { row: Some(row), stamped: Some(stamped) }),
-        None => Err(OperatorError::Unavailable("the head row can't be read".to_owned())),
+        None => Err(OperatorError::Unavailable(format!("row {HEAD_KEY} holds no valid head"))),
     }
 }
 
@@ -106,7 +111,7 @@
     }
 }
 
-async fn settle(
+async fn commit_head(
     driver: &Driver,
     request: &Request,
     current: &Current,
@@ -129,9 +134,9 @@
             let version = row.as_ref().map_or(current.version(), |row| row.head.version);
             Err(conflict(row.as_ref(), version))
         }
-        Settled::Unknown { may_have_run: false } => Err(unchanged(())),
+        Settled::Unknown { may_have_run: false } => Err(not_committed(())),
         Settled::Unknown { may_have_run: true } => Err(OperatorError::Unavailable(
-            "the platform is out; the change may have been accepted: send the same op again"
+            "the platform is unavailable; the configuration may be committed: repeat the same op"
                 .to_owned(),
         )),
     }
@@ -139,19 +144,21 @@
 
 fn conflict(row: Option<&HeadRow>, version: ConfigVersion) -> OperatorError {
     let winner = row.map_or_else(|| "nobody".to_owned(), |row| row.operator.to_string());
-    let error = format!("version {version} by {winner} is current");
+    let error = format!("the current configuration is version {version} by {winner}");
     OperatorError::Conflict { error, winner }
 }
 
-fn unchanged<T>(_: T) -> OperatorError {
-    OperatorError::Unavailable("the platform is out; nothing was changed".to_owned())
+fn not_committed<T>(_: T) -> OperatorError {
+    OperatorError::Unavailable(
+        "the platform is unavailable; the configuration was not committed".to_owned(),
+    )
 }
 
 fn answer(head: ConfigHead) -> Result<Value, OperatorError> {
     Ok(serde_json::to_value(Accepted::from(head)).unwrap_or_default())
 }
 
-/// Tries an idempotent request a few times.
+/// Sends an idempotent platform request up to [`MAX_ATTEMPTS`] times, with backoff.
 async fn retry<T, F>(request: impl Fn() -> F) -> sycamore_platform::Result<T>
 where
     F: std::future::Future<Output = sycamore_platform::Result<T>>,
@@ -163,14 +170,14 @@
             Err(report) => report,
         };
         let delay = backoff.fail();
-        if backoff.failures() >= TRIES {
+        if backoff.failures() >= MAX_ATTEMPTS {
             return Err(report);
         }
-        monoio::time::sleep(wait(report.current_context(), delay)).await;
+        monoio::time::sleep(retry_delay(report.current_context(), delay)).await;
     }
 }
 
-fn wait(error: &Error, delay: Duration) -> Duration {
+fn retry_delay(error: &Error, delay: Duration) -> Duration {
     match error {
         Error::Throttled { wait } => *wait,
         _ => delay,
--- a/crates/sycamore-node/src/config/driver.rs
+++ b/crates/sycamore-node/src/config/driver.rs
@@ -1,4 +1,4 @@
-//! Runs the apply machine and the floor: gives them their inputs and carries out their actions.
+//! Drives the configuration state machines: feeds them inputs and executes their actions.
 
 use super::metrics::Metrics;
 use crate::hub::Hub;
@@ -17,16 +17,16 @@
 use sycamore_types::prelude::*;
 use tokio::sync::{mpsc, Notify};
 
-/// Fetches that wait for a worker at most; the machine has one for each head that it follows.
+/// Capacity of the fetch queue. The state machine has one fetch open for each head it follows.
 const FETCH_QUEUE: usize = 16;
-/// Rejected heads that operators are told of.
-const MAX_REPORTED: usize = 8;
+/// Rejected heads kept for the query `config`; the oldest is dropped first.
+const MAX_REJECTED: usize = 8;
 
-/// Time that a configuration takes at most from the platform's row to a node that follows it: a
-/// megabyte over the users' slowest link of 10 Mbit/s.
-const ROW_LEAD: Duration = Duration::from_millis(800);
+/// Longest time a configuration takes from the platform's row to a node that watches it: 1 MB over
+/// the users' slowest link of 10 Mbit/s.
+const ROW_TRANSFER_TIME: Duration = Duration::from_millis(800);
 
-/// One fetch that the machine asked for.
+/// Fetch of configuration objects that the state machine requested.
 #[derive(Debug)]
 pub(super) struct Fetch {
     pub(super) head: ConfigHead,
@@ -34,35 +34,35 @@
     pub(super) hashes: Vec<ContentHash>,
 }
 
-/// A head that this node rejected.
+/// Configuration head that this node rejected, with the reason.
 #[derive(Debug, Clone)]
 pub(super) struct Rejected {
     pub(super) head: ConfigHead,
     pub(super) reason: String,
 }
 
-/// The machines with what they need around them.
+/// Configuration state machines with their inputs, outputs and metrics.
 pub(super) struct Driver {
     pub(super) hub: Rc<Hub>,
     pub(super) platform: Rc<Platform>,
     pub(super) peers: Rc<Peers>,
     pub(super) metrics: Metrics,
     pub(super) rejected: RefCell<VecDeque<Rejected>>,
-    /// Wakes the task that ticks the machine.
-    pub(super) changed: Notify,
-    /// Wakes the task that serves objects, which may have come.
-    pub(super) gained: Notify,
-    /// This node reads operators' rows, and the platform answers.
-    pub(super) follows: Cell<bool>,
-    /// The last head that a peer did not have.
-    missed: Cell<Option<ConfigHead>>,
+    /// Wakes the task that ticks the state machine, whose next due time may have changed.
+    pub(super) state_changed: Notify,
+    /// Wakes the task that serves objects to peers, as new objects may have arrived.
+    pub(super) objects_changed: Notify,
+    /// Whether this node watches operators' rows itself and its last read of them succeeded.
+    pub(super) watches_rows: Cell<bool>,
+    /// Latest head for which a peer lacked objects.
+    peer_miss: Cell<Option<ConfigHead>>,
     apply: RefCell<Apply>,
     floor: RefCell<Floor>,
     fetches: mpsc::Sender<Fetch>,
 }
 
 impl Driver {
-    /// A driver whose machine knows no configuration, and the queue of its fetches.
+    /// Creates a driver that knows no configuration, and the receiver of its fetch queue.
     pub(super) fn new(
         hub: &Rc<Hub>,
         platform: &Rc<Platform>,
@@ -79,10 +79,10 @@
             peers: peers.clone(),
             metrics,
             rejected: RefCell::default(),
-            changed: Notify::new(),
-            gained: Notify::new(),
-            follows: Cell::new(false),
-            missed: Cell::new(None),
+            state_changed: Notify::new(),
+            objects_changed: Notify::new(),
+            watches_rows: Cell::new(false),
+            peer_miss: Cell::new(None),
             apply: RefCell::new(Apply::new(settings)),
             floor: RefCell::new(Floor::new(FloorSettings::default())),
             fetches,
@@ -90,82 +90,85 @@
         (driver, fetches_rx)
     }
 
-    /// Gives the machine one input and carries out what it asks for.
+    /// Feeds one input to the state machine and executes the resulting actions.
     pub(super) fn input(&self, input: Input) {
         let actions = self.apply.borrow_mut().step(self.hub.clock.now(), input);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
-        self.changed.notify_one();
-        self.gained.notify_one();
+        self.state_changed.notify_one();
+        self.objects_changed.notify_one();
     }
 
-    /// Takes a whole configuration that came by itself: accepted through this node, or read from an
-    /// operator's row.
-    pub(super) fn given(&self, head: ConfigHead, pack: Bytes) {
+    /// Accepts a complete configuration that needs no fetch: committed through this node, or read
+    /// from an operator's row.
+    pub(super) fn accept_pack(&self, head: ConfigHead, pack: Bytes) {
         self.input(Input::Given { head, pack });
         self.hub.raise(Fact::Head(head));
     }
 
-    /// Takes what the platform's head row said; `None` where there is no row.
-    pub(super) fn read_head(&self, head: Option<ConfigHead>) {
+    /// Handles the head read from the platform's table; `None` if the table has no head row.
+    pub(super) fn handle_stored_head(&self, head: Option<ConfigHead>) {
         if let Some(head) = head {
             self.input(Input::Heard { head, from: Source::Store, lead: Duration::ZERO });
             self.hub.raise(Fact::Head(head));
         }
         if self.floor().is_none() {
             let floor = self.floor.borrow_mut().read(head);
-            self.learn_floor(floor);
+            self.apply_floor(floor);
         }
     }
 
-    /// Takes the highest head that `peer` has seen.
-    pub(super) fn told(&self, peer: &Member, head: ConfigHead) {
-        self.heard_of(head);
+    /// Handles the highest head that `peer` has seen, as it answered a head request.
+    pub(super) fn handle_peer_head(&self, peer: &Member, head: ConfigHead) {
+        self.handle_spread_head(head);
         if self.floor().is_none() {
             let (instance, data_centre) = (&peer.instance, &peer.data_centre);
-            let told = PeerHead { instance, data_centre, head };
-            let floor = self.floor.borrow_mut().told(told);
-            self.learn_floor(floor);
+            let peer_head = PeerHead { instance, data_centre, head };
+            let floor = self.floor.borrow_mut().told(peer_head);
+            self.apply_floor(floor);
         }
     }
 
-    /// Takes a head that a peer told of. Where this node reads operators' rows itself, the whole
-    /// configuration is likely on its way from there.
-    pub(super) fn heard_of(&self, head: ConfigHead) {
-        let lead = if self.follows.get() { ROW_LEAD } else { Duration::ZERO };
+    /// Handles a head that peers spread. A node that watches operators' rows delays the fetch, as
+    /// the complete configuration is probably on its way from the platform.
+    pub(super) fn handle_spread_head(&self, head: ConfigHead) {
+        let lead = if self.watches_rows.get() { ROW_TRANSFER_TIME } else { Duration::ZERO };
         self.input(Input::Heard { head, from: Source::Peer, lead });
     }
 
-    /// Notes that a peer did not have objects of `head`.
-    pub(super) fn note_miss(&self, head: ConfigHead) {
-        self.missed.set(Some(head));
+    /// Records that a peer lacked objects of `head`.
+    pub(super) fn record_peer_miss(&self, head: ConfigHead) {
+        self.peer_miss.set(Some(head));
     }
 
-    /// Whether a peer did not have objects of `head`.
-    pub(super) fn missed(&self, head: ConfigHead) -> bool {
-        self.missed.get() == Some(head)
+    /// Whether the latest recorded peer miss was for `head`.
+    pub(super) fn has_peer_miss(&self, head: ConfigHead) -> bool {
+        self.peer_miss.get() == Some(head)
     }
 
-    /// The version floor; `None` while the node may not serve.
+    /// Version floor, the lowest version that this node may serve; `None` until it is known, and
+    /// the node serves nothing before.
     pub(super) fn floor(&self) -> Option<ConfigVersion> {
         self.floor.borrow().known()
     }
 
-    /// Reads the machine.
-    pub(super) fn read<T>(&self, read: impl FnOnce(&Apply) -> T) -> T {
+    /// Calls `read` on the state machine.
+    pub(super) fn with_state<T>(&self, read: impl FnOnce(&Apply) -> T) -> T {
         read(&self.apply.borrow())
     }
 
-    fn learn_floor(&self, floor: Option<ConfigVersion>) {
+    fn apply_floor(&self, floor: Option<ConfigVersion>) {
         if let Some(version) = floor {
             self.input(Input::Floor(version));
         }
     }
 
-    fn act(&self, action: Action) {
+    fn execute(&self, action: Action) {
         match action {
-            Action::Fetch { head, source, hashes } => self.fetch(Fetch { head, source, hashes }),
+            Action::Fetch { head, source, hashes } => {
+                self.queue_fetch(Fetch { head, source, hashes });
+            }
             Action::Apply(snapshot) => {
                 self.metrics.applied(snapshot.version, self.hub.clock.wall());
                 self.hub.publish_snapshot(snapshot);
@@ -174,10 +177,10 @@
         }
     }
 
-    fn fetch(&self, fetch: Fetch) {
+    fn queue_fetch(&self, fetch: Fetch) {
         let head = fetch.head;
         if self.fetches.try_send(fetch).is_err() {
-            // The machine counts on one answer for each fetch.
+            // The state machine expects exactly one answer to each fetch.
             self.input(Input::Fetched { head, answer: FetchAnswer::Failed });
         }
     }
@@ -189,7 +192,7 @@
         let mut rejected = self.rejected.borrow_mut();
         rejected.retain(|earlier| earlier.head != head);
         rejected.push_back(Rejected { head, reason: reason.clone() });
-        if rejected.len() > MAX_REPORTED {
+        if rejected.len() > MAX_REJECTED {
             rejected.pop_front();
         }
         self.hub.record(EventKind::ConfigRejected { config: head.version, reason });
--- a/crates/sycamore-node/src/config/fetch.rs
+++ b/crates/sycamore-node/src/config/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches objects of configurations from peers and from the object store.
+//! Fetches configuration objects from peers and from the platform's object store.
 
 use super::driver::{Driver, Fetch};
 use crate::tasks::TaskGroup;
@@ -12,41 +12,42 @@
 use sycamore_types::prelude::*;
 use tokio::sync::mpsc;
 
-/// Fetches under way at once.
+/// Fetches that run concurrently.
 const WORKERS: usize = 4;
-/// Part of the fetches that go to any data centre rather than the own one.
-const FAR_PERCENT: u32 = 50;
+/// Share of random fetches, in percent, that may go to a peer in any data centre; the others stay
+/// in this node's own.
+const ANY_DATA_CENTRE_PERCENT: u32 = 50;
 
 type Queue = Rc<tokio::sync::Mutex<mpsc::Receiver<Fetch>>>;
 
-/// Starts the workers.
+/// Spawns the fetch workers and the task that ticks the state machine.
 pub(super) fn start(driver: &Rc<Driver>, tasks: &TaskGroup, fetches: mpsc::Receiver<Fetch>) {
     let queue = Rc::new(tokio::sync::Mutex::new(fetches));
     for _ in 0..WORKERS {
-        tasks.spawn_until_stop(work(driver.clone(), queue.clone()));
+        tasks.spawn_until_stop(run_worker(driver.clone(), queue.clone()));
     }
     tasks.spawn_until_stop(tick(driver.clone()));
 }
 
-async fn work(driver: Rc<Driver>, queue: Queue) {
+async fn run_worker(driver: Rc<Driver>, queue: Queue) {
     loop {
         let next = queue.lock().await.recv().await;
         let Some(fetch) = next else { return };
         let head = fetch.head;
-        let answer = run(&driver, fetch).await;
+        let answer = fetch_objects(&driver, fetch).await;
         driver.input(Input::Fetched { head, answer });
     }
 }
 
-async fn run(driver: &Driver, fetch: Fetch) -> FetchAnswer {
+async fn fetch_objects(driver: &Driver, fetch: Fetch) -> FetchAnswer {
     match (fetch.source, choose_peer(driver, fetch.head)) {
-        (Source::Peer, Some(to)) => from_peer(driver, fetch.head, to, &fetch.hashes).await,
-        // A node that knows no peer has nobody else to ask.
-        (Source::Peer, None) | (Source::Store, _) => from_store(driver, fetch.head).await,
+        (Source::Peer, Some(to)) => fetch_from_peer(driver, fetch.head, to, &fetch.hashes).await,
+        // Without a known peer the object store is the only source.
+        (Source::Peer, None) | (Source::Store, _) => fetch_from_store(driver, fetch.head).await,
     }
 }
 
-async fn from_peer(
+async fn fetch_from_peer(
     driver: &Driver,
     head: ConfigHead,
     to: SocketAddr,
@@ -60,14 +61,14 @@
             FetchAnswer::Objects(objects.into_iter().map(|(_, body)| body).collect())
         }
         _ => {
-            driver.note_miss(head);
+            driver.record_peer_miss(head);
             driver.metrics.missed_at_peer();
             FetchAnswer::Failed
         }
     }
 }
 
-async fn from_store(driver: &Driver, head: ConfigHead) -> FetchAnswer {
+async fn fetch_from_store(driver: &Driver, head: ConfigHead) -> FetchAnswer {
     match driver.platform.http().fetch(&object_key(head.manifest)).await {
         Ok(Some(pack)) => {
             driver.metrics.fetched_from_store();
@@ -78,11 +79,11 @@
     }
 }
 
-/// The peer that told of the head, which holds a fetch until it has the objects itself; after a
-/// miss there, a random peer, half of the time one in the own data centre.
+/// Chooses the peer from which `head` was learnt, as it holds a fetch until it has the objects
+/// itself. After a miss there, chooses a random peer, half of the time in this node's data centre.
 fn choose_peer(driver: &Driver, head: ConfigHead) -> Option<SocketAddr> {
-    let teller = driver.hub.facts.head_source(&head);
-    teller.filter(|_| !driver.missed(head)).or_else(|| random_peer(driver))
+    let source = driver.hub.facts.head_source(&head);
+    source.filter(|_| !driver.has_peer_miss(head)).or_else(|| random_peer(driver))
 }
 
 fn random_peer(driver: &Driver) -> Option<SocketAddr> {
@@ -90,24 +91,24 @@
     let own = &driver.hub.settings.node;
     let others: Vec<&Member> =
         view.members.values().filter(|member| member.instance != own.instance).collect();
-    let near: Vec<&Member> =
+    let local: Vec<&Member> =
         others.iter().filter(|member| member.data_centre == own.data_centre).copied().collect();
-    let far = near.is_empty() || rand::random_ratio(FAR_PERCENT, 100);
-    let among = if far { &others } else { &near };
-    among.choose(&mut rand::rng()).map(|member| member.endpoints.peer)
+    let any = local.is_empty() || rand::random_ratio(ANY_DATA_CENTRE_PERCENT, 100);
+    let candidates = if any { &others } else { &local };
+    candidates.choose(&mut rand::rng()).map(|member| member.endpoints.peer)
 }
 
-/// Ticks the machine when it has something to try again.
+/// Ticks the state machine whenever one of its delayed fetches is due.
 async fn tick(driver: Rc<Driver>) {
     loop {
         let now = driver.hub.clock.now();
-        match driver.read(|apply| apply.next_tick()) {
+        match driver.with_state(|apply| apply.next_tick()) {
             Some(due) if due <= now => driver.input(Input::Tick),
             Some(due) => {
-                let changed = driver.changed.notified();
+                let changed = driver.state_changed.notified();
                 let _ = monoio::time::timeout(due.since(now), changed).await;
             }
-            None => driver.changed.notified().await,
+            None => driver.state_changed.notified().await,
         }
     }
 }
--- a/crates/sycamore-node/src/config/find.rs
+++ b/crates/sycamore-node/src/config/find.rs
@@ -1,4 +1,5 @@
-//! Finds new heads: polls the head row within the fleet's budget, and hears what peers spread.
+//! Discovers new configuration heads: polls the head row within the fleet-wide read budget, and
+//! follows the heads that peers spread.
 
 use super::driver::Driver;
 use crate::tasks::TaskGroup;
@@ -10,19 +11,19 @@
 use sycamore_platform::{Result, Row, Table};
 use sycamore_types::prelude::*;
 
-/// Longest random delay before the first read, so that a herd doesn't arrive at once.
+/// Longest random delay before the first read, so that nodes started together don't read at once.
 const START_JITTER: Duration = Duration::from_millis(200);
-/// Nodes assumed until this one has compared its table with another's.
+/// Least fleet size assumed before the first exchange of membership tables with a peer.
 const NODES_BEFORE_SYNC: usize = 100;
-/// How much more a node without a floor may read than others.
-const START_FACTOR: f64 = 10.0;
+/// Factor on the read budget of a node without a version floor, which can't serve yet.
+const START_BUDGET_FACTOR: f64 = 10.0;
 
-/// Starts to poll the head row.
+/// Spawns the task that polls the head row.
 pub(super) fn poll(driver: &Rc<Driver>, tasks: &TaskGroup) {
     tasks.spawn_until_stop(poll_head(driver.clone()));
 }
 
-/// Starts to follow what peers spread.
+/// Spawns the task that follows the heads that peers spread.
 pub(super) fn follow(driver: &Rc<Driver>, tasks: &TaskGroup) {
     tasks.spawn_until_stop(follow_facts(driver.clone()));
 }
@@ -34,31 +35,31 @@
         match read_head(&driver).await {
             Ok(head) => {
                 failures = 0;
-                driver.read_head(head);
+                driver.handle_stored_head(head);
             }
             Err(_) => failures += 1,
         }
         driver.metrics.platform(driver.platform.http().traffic());
-        monoio::time::sleep(delay(&driver, failures)).await;
+        monoio::time::sleep(poll_delay(&driver, failures)).await;
     }
 }
 
 async fn read_head(driver: &Driver) -> Result<Option<ConfigHead>> {
     let row = driver.platform.http().get(HEAD_KEY).await?;
-    row.map(|row| head_in(&row)).transpose()
+    row.map(|row| decode_head(&row)).transpose()
 }
 
-fn head_in(row: &Row) -> Result<ConfigHead> {
+fn decode_head(row: &Row) -> Result<ConfigHead> {
     let read = HeadRow::read(&row.value).map(|row| row.body.head);
     read.ok_or_else(|| {
-        let why = "the head row can't be read".to_owned();
+        let why = format!("row {HEAD_KEY} holds no valid head");
         error_stack::Report::new(sycamore_platform::Error::Malformed(why))
     })
 }
 
-fn delay(driver: &Driver, failures: u32) -> Duration {
+fn poll_delay(driver: &Driver, failures: u32) -> Duration {
     let fleet_reads_per_s = f64::from(driver.hub.settings.platform.fleet_reads_per_s);
-    let factor = if driver.floor().is_none() { START_FACTOR } else { 1.0 };
+    let factor = if driver.floor().is_none() { START_BUDGET_FACTOR } else { 1.0 };
     let settings =
         PollSettings { fleet_reads_per_s: fleet_reads_per_s * factor, ..PollSettings::default() };
     let known = driver.hub.members.borrow().members.len();
@@ -71,7 +72,7 @@
     loop {
         let known = facts.borrow_and_update().clone();
         if let Some(Fact::Head(head)) = known.get(&FactKey::Head) {
-            driver.heard_of(*head);
+            driver.handle_spread_head(*head);
         }
         if facts.changed().await.is_err() {
             return;
--- a/crates/sycamore-node/src/config/follow.rs
+++ b/crates/sycamore-node/src/config/follow.rs
@@ -1,6 +1,8 @@
-//! Follows the rows that operators write into the platform's table: configurations and orders.
+//! Watches the rows that operators write into the platform's table: configurations and release
+//! orders.
 //!
-//! Some nodes watch; a configuration that one of them reads spreads to the others as any head does.
+//! Only some nodes watch; a configuration that one of them reads spreads to the others like any
+//! other head.
 
 use super::driver::Driver;
 use crate::edge::{OperatorEdge, OperatorRow};
@@ -17,34 +19,34 @@
 use sycamore_platform::{Error, PageQuery, Result, Revision, Row, Table};
 use sycamore_types::prelude::*;
 
-/// Time between two looks at whether this node is to watch.
+/// Time between two checks of whether this node has become a watcher.
 const ROLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest pause after a failed watch: an answer that comes back must be used within a second.
-const LONGEST_PAUSE: Duration = Duration::from_millis(600);
+/// Longest pause after a failed watch: a platform that is back must be used within 1 s.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(600);
 
-/// Starts the task.
+/// Spawns the task that watches operators' rows.
 pub(super) fn start(driver: &Rc<Driver>, tasks: &TaskGroup, edge: Rc<dyn OperatorEdge>) {
     tasks.spawn_until_stop(run(driver.clone(), edge));
 }
 
 async fn run(driver: Rc<Driver>, edge: Rc<dyn OperatorEdge>) {
-    let settings = BackoffSettings { cap: LONGEST_PAUSE, ..BackoffSettings::default() };
+    let settings = BackoffSettings { cap: MAX_RETRY_PAUSE, ..BackoffSettings::default() };
     let mut backoff = Backoff::new(settings.clone(), rand::random());
     let mut watch = Watch { driver: &driver, edge: &*edge, at: None };
     loop {
         if !is_watcher(&driver) {
             watch.at = None;
-            driver.follows.set(false);
+            driver.watches_rows.set(false);
             monoio::time::sleep(ROLE_INTERVAL).await;
             continue;
         }
         match watch.step().await {
             Ok(()) => {
-                watch.reached();
+                watch.record_success();
                 backoff = Backoff::new(settings.clone(), rand::random());
             }
             Err(report) => {
-                watch.failed(report.current_context());
+                watch.record_failure(report.current_context());
                 monoio::time::sleep(backoff.fail()).await;
             }
         }
@@ -52,8 +54,9 @@
     }
 }
 
-/// Whether this node is among those that watch: in a small fleet all do, in a larger one those that
-/// come first by the hash of their names. A node without a configuration reads for itself.
+/// Whether this node watches operators' rows. In a small fleet every node does, in a larger one
+/// those with the lowest hashes of their instance names; a node without a version floor always
+/// does.
 fn is_watcher(driver: &Driver) -> bool {
     let watchers = driver.hub.settings.config.watchers as usize;
     let view = driver.hub.members.borrow().clone();
@@ -65,30 +68,32 @@
     view.members.keys().filter(|instance| rank(instance) < own).count() < watchers
 }
 
+/// Watch on the rows under the operators' prefix.
 struct Watch<'a> {
     driver: &'a Driver,
     edge: &'a dyn OperatorEdge,
-    /// Revision up to which changes are known.
+    /// Revision up to which changes were handled; `None` if all rows must be read again.
     at: Option<Revision>,
 }
 
 impl Watch<'_> {
-    /// Reads all rows, or waits for changes to them.
+    /// Reads all rows if the watch has no revision, else waits for the changes after it.
     async fn step(&mut self) -> Result<()> {
         let platform = self.driver.platform.http();
         let prefix = self.edge.prefix();
         let Some(at) = self.at else {
             let page = platform.list(PageQuery { prefix, ..PageQuery::default() }).await?;
-            self.forget_orders(&page.rows);
-            page.rows.iter().for_each(|row| self.take(row));
+            self.remove_stale_orders(&page.rows);
+            page.rows.iter().for_each(|row| self.handle_row(row));
             self.at = Some(page.at);
             return Ok(());
         };
         let wait = self.driver.hub.settings.config.watch_time;
         match platform.changes(prefix, at, wait).await {
             Ok(changes) => {
-                changes.rows.iter().for_each(|row| self.take(row));
-                self.at = match next(self.driver.hub.snapshot.borrow().version, self.known()) {
+                changes.rows.iter().for_each(|row| self.handle_row(row));
+                let applied = self.driver.hub.snapshot.borrow().version;
+                self.at = match next(applied, self.highest_spread_version()) {
                     Next::Changes => Some(changes.at),
                     Next::Rows => None,
                 };
@@ -104,25 +109,25 @@
         }
     }
 
-    /// The highest version that peers tell of.
-    fn known(&self) -> Option<ConfigVersion> {
+    /// Highest configuration version that this node has raised or learnt from peers.
+    fn highest_spread_version(&self) -> Option<ConfigVersion> {
         match self.driver.hub.facts.known().get(&FactKey::Head) {
             Some(Fact::Head(head)) => Some(head.version),
             _ => None,
         }
     }
 
-    fn take(&self, row: &Row) {
+    fn handle_row(&self, row: &Row) {
         match self.edge.read(&row.key, &row.value) {
-            OperatorRow::Config(Ok((version, resources))) => self.take_config(version, resources),
-            OperatorRow::Config(Err(why)) => self.reject(row, &why),
-            OperatorRow::Release(Ok(order)) => self.take_order(row, order),
-            OperatorRow::Release(Err(why)) => self.reject(row, &why),
+            OperatorRow::Config(Ok((version, resources))) => self.handle_config(version, resources),
+            OperatorRow::Config(Err(why)) => self.reject_row(row, &why),
+            OperatorRow::Release(Ok(order)) => self.handle_order(row, order),
+            OperatorRow::Release(Err(why)) => self.reject_row(row, &why),
             OperatorRow::Other => {}
         }
     }
 
-    fn take_config(&self, version: ConfigVersion, resources: Vec<Resource>) {
+    fn handle_config(&self, version: ConfigVersion, resources: Vec<Resource>) {
         let driver = self.driver;
         if version <= driver.hub.snapshot.borrow().version {
             return;
@@ -130,35 +135,35 @@
         match Bundle::new(resources) {
             Ok(bundle) => {
                 let encoded = Encoded::new(bundle.resources(), version);
-                info!(driver.hub.log, "configuration read"; "version" => version.0,
+                info!(driver.hub.log, "operator configuration read"; "version" => version.0,
                     "bytes" => encoded.pack().len());
-                driver.given(encoded.head, encoded.pack());
-                driver.read_head(Some(encoded.head));
+                driver.accept_pack(encoded.head, encoded.pack());
+                driver.handle_stored_head(Some(encoded.head));
             }
             Err(faults) => {
                 let why: Vec<String> = faults.iter().map(ToString::to_string).collect();
-                warn!(driver.hub.log, "configuration rejected"; "version" => version.0,
+                warn!(driver.hub.log, "operator configuration rejected"; "version" => version.0,
                     "faults" => why.join("; "));
                 driver.metrics.rejected();
             }
         }
     }
 
-    fn take_order(&self, row: &Row, order: crate::edge::ReleaseOrder) {
+    fn handle_order(&self, row: &Row, order: crate::edge::ReleaseOrder) {
         let orders = &self.driver.hub.orders;
         let known = orders.borrow().get(&row.key).map(|(_, revision)| *revision);
         if known.is_some_and(|known| known >= row.revision.0) {
             return;
         }
-        info!(self.driver.hub.log, "release ordered"; "service" => %order.service,
+        info!(self.driver.hub.log, "release order read"; "service" => %order.service,
             "to" => %order.to, "within_ms" => order.duration.as_millis());
         orders.send_modify(|orders| {
             Arc::make_mut(orders).insert(row.key.clone(), (order, row.revision.0));
         });
     }
 
-    /// Forgets the orders whose rows are gone.
-    fn forget_orders(&self, rows: &[Row]) {
+    /// Removes the release orders whose rows are not among `rows`.
+    fn remove_stale_orders(&self, rows: &[Row]) {
         let keys: BTreeSet<&str> = rows.iter().map(|row| row.key.as_str()).collect();
         self.driver.hub.orders.send_if_modified(|orders| {
             let before = orders.len();
@@ -167,20 +172,20 @@
         });
     }
 
-    fn reject(&self, row: &Row, why: &str) {
+    fn reject_row(&self, row: &Row, why: &str) {
         self.driver.metrics.rejected();
-        warn!(self.driver.hub.log, "operator's row rejected"; "key" => &row.key,
+        warn!(self.driver.hub.log, "operator row rejected"; "key" => &row.key,
             "revision" => row.revision.0, "why" => why);
     }
 
-    fn failed(&self, error: &Error) {
-        self.driver.follows.set(false);
+    fn record_failure(&self, error: &Error) {
+        self.driver.watches_rows.set(false);
         let hub = &self.driver.hub;
         hub.dependencies.lost(&hub.log, hub.clock.now(), Dependency::Platform, &error.to_string());
     }
 
-    fn reached(&self) {
-        self.driver.follows.set(true);
+    fn record_success(&self) {
+        self.driver.watches_rows.set(true);
         let hub = &self.driver.hub;
         hub.dependencies.reached(&hub.log, hub.clock.now(), Dependency::Platform);
         self.driver.metrics.followed(hub.clock.wall());
--- a/crates/sycamore-node/src/config/metrics.rs
+++ b/crates/sycamore-node/src/config/metrics.rs
@@ -1,11 +1,11 @@
-//! Metrics of configurations and of the platform.
+//! Metrics of configurations and of requests to the platform.
 
 use crate::hub::{raise_to, Meter};
 use prometheus::{Gauge, IntCounter, IntCounterVec, IntGauge, Registry, Result};
 use sycamore_platform::http::Traffic;
 use sycamore_types::prelude::*;
 
-/// Metrics of configurations and of the platform.
+/// Metrics of configurations and of requests to the platform.
 pub(super) struct Metrics {
     version: IntGauge,
     applied_at: Gauge,
@@ -17,71 +17,71 @@
 }
 
 impl Metrics {
-    /// Registers the metrics.
+    /// Registers the metrics with `registry`.
     pub(super) fn register(registry: &Registry) -> Result<Self> {
         let meter = Meter::new(registry);
         Ok(Self {
-            version: meter.gauge("config_version", "Configuration in force")?,
+            version: meter.gauge("config_version", "Version of the configuration in force")?,
             applied_at: meter.level(
                 "config_applied_timestamp_seconds",
-                "When the configuration came into force, in seconds since the Unix epoch",
+                "Unix time at which the configuration in force was applied, in seconds",
             )?,
             followed_at: meter.level(
                 "config_followed_timestamp_seconds",
-                "When this node last heard from the platform that nothing newer is there",
+                "Unix time of the last successful read of operators' rows, in seconds",
             )?,
             rejected: meter
-                .counter("config_rejected_total", "Configurations that were rejected")?,
+                .counter("config_rejected_total", "Rejected configurations and operator rows")?,
             fetches: meter.counters(
                 "config_fetches_total",
-                "Fetches of configuration objects",
+                "Fetches of configuration objects, by result",
                 &["result"],
             )?,
             requests: meter.counters(
                 "platform_requests_total",
-                "Requests to the platform",
+                "Requests to the platform, by kind",
                 &["kind"],
             )?,
             bytes: meter.counters(
                 "platform_bytes_total",
-                "Bytes to and from the platform, headers included",
+                "Bytes sent to and received from the platform, headers included",
                 &["direction"],
             )?,
         })
     }
 
-    /// A configuration came into force.
+    /// Records that configuration `version` was applied at `at`.
     pub(super) fn applied(&self, version: ConfigVersion, at: WallTime) {
         self.applied_at.set(seconds(at));
         self.version.set(i64::try_from(version.0).unwrap_or(i64::MAX));
     }
 
-    /// The platform told at `at` what is new, or that nothing is.
+    /// Records that a read of operators' rows succeeded at `at`, with or without changes.
     pub(super) fn followed(&self, at: WallTime) {
         self.followed_at.set(seconds(at));
     }
 
-    /// A configuration was rejected.
+    /// Counts a rejected configuration or operator row.
     pub(super) fn rejected(&self) {
         self.rejected.inc();
     }
 
-    /// A peer gave objects.
+    /// Counts a fetch that a peer answered with objects.
     pub(super) fn fetched_from_peer(&self) {
         self.fetches.with_label_values(&["peer"]).inc();
     }
 
-    /// A peer had nothing or did not answer.
+    /// Counts a fetch for which the peer had no object or sent no answer in time.
     pub(super) fn missed_at_peer(&self) {
         self.fetches.with_label_values(&["peer-miss"]).inc();
     }
 
-    /// The object store gave a configuration.
+    /// Counts a fetch that the object store answered with a configuration.
     pub(super) fn fetched_from_store(&self) {
         self.fetches.with_label_values(&["store"]).inc();
     }
 
-    /// Takes over the counts of the platform's client.
+    /// Copies the request and byte counts of the platform client.
     pub(super) fn platform(&self, traffic: &Traffic) {
         let counts = [
             ("read", &traffic.reads),
--- a/crates/sycamore-node/src/config/mod.rs
+++ b/crates/sycamore-node/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! Finding and applying configurations.
+//! Discovers, fetches and applies configurations.
 
 mod accept;
 mod driver;
@@ -22,27 +22,28 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// The metrics of configurations can't be registered.
+/// Error of [`start`]: the configuration metrics can't be registered.
 #[derive(Debug)]
 pub struct ConfigError;
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the metrics of configurations can't be registered")
+        f.write_str("the configuration metrics can't be registered")
     }
 }
 
 impl std::error::Error for ConfigError {}
 
-/// Finding and applying configurations.
+/// Handle to the running configuration subsystem.
 pub struct Config {
     driver: Rc<Driver>,
 }
 
-/// Starts the slice's tasks.
+/// Spawns the configuration subsystem's tasks on `tasks`. With `operators`, this node watches the
+/// rows that operators write; without, it polls the head row.
 ///
 /// # Errors
-/// [`ConfigError`] where a metric can't be registered.
+/// [`ConfigError`] if a metric can't be registered.
 pub async fn start(
     hub: &Rc<Hub>,
     tasks: &TaskGroup,
@@ -64,18 +65,20 @@
 }
 
 impl Config {
-    /// Checks the bundle in `body` and makes it the current configuration.
+    /// Validates the bundle in `body` and commits it as the current configuration.
     ///
     /// # Errors
-    /// [`OperatorError`] where the bundle is faulty, somebody else won or the platform is out.
+    /// [`OperatorError`] if the bundle is invalid, another change was committed first or the
+    /// platform is unavailable.
     pub async fn apply(&self, body: &[u8]) -> Result<serde_json::Value, OperatorError> {
         accept::accept(&self.driver, body).await
     }
 
-    /// The configuration in force on this node.
+    /// Answers the query `config`: the configuration in force on this node and the heads it
+    /// rejected.
     ///
     /// # Errors
-    /// [`OperatorError::NotFound`] where there is none yet.
+    /// [`OperatorError::NotFound`] if this node has no configuration yet.
     pub async fn query(&self) -> Result<serde_json::Value, OperatorError> {
         query::config(&self.driver)
     }
--- a/crates/sycamore-node/src/config/query.rs
+++ b/crates/sycamore-node/src/config/query.rs
@@ -1,4 +1,4 @@
-//! What operators are told of the configuration in force.
+//! The operator query `config`: the configuration in force on this node.
 
 use super::driver::{Driver, Rejected};
 use crate::operator::OperatorError;
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use sycamore_types::prelude::*;
 
-/// The answer to the query `config`.
+/// Answer to the query `config`.
 #[derive(Serialize)]
 struct Answer {
     version: ConfigVersion,
@@ -16,6 +16,7 @@
     rejected: Vec<RejectedAnswer>,
 }
 
+/// Rejected configuration head in the answer to the query `config`.
 #[derive(Serialize)]
 struct RejectedAnswer {
     version: ConfigVersion,
@@ -33,18 +34,18 @@
     }
 }
 
-/// The configuration in force, and the heads rejected last.
+/// Answers the query `config`: the configuration in force and the latest rejected heads.
 ///
 /// # Errors
-/// [`OperatorError::NotFound`] where there is none yet.
+/// [`OperatorError::NotFound`] if this node has no configuration yet.
 pub(super) fn config(driver: &Driver) -> Result<Value, OperatorError> {
-    if driver.read(|apply| apply.in_force()).is_none() {
-        return Err(OperatorError::NotFound("a configuration".to_owned()));
+    if driver.with_state(|apply| apply.in_force()).is_none() {
+        return Err(OperatorError::NotFound("configuration".to_owned()));
     }
     let snapshot = driver.hub.snapshot.borrow().clone();
     let answer = Answer {
         version: snapshot.version,
-        manifest: driver.read(|apply| apply.head()).map(|head| head.manifest),
+        manifest: driver.with_state(|apply| apply.head()).map(|head| head.manifest),
         floor: driver.floor(),
         resources: resources(&snapshot),
         rejected: driver.rejected.borrow().iter().map(RejectedAnswer::from).collect(),
--- a/crates/sycamore-node/src/config/serve.rs
+++ b/crates/sycamore-node/src/config/serve.rs
@@ -1,7 +1,8 @@
-//! Serves objects of configurations to peers.
+//! Serves configuration objects to peers.
 //!
-//! A call for objects that this node is about to get is held for a moment: nodes fetch from the peer
-//! that told them of a head, so that a change runs down the tree of tellers without retries.
+//! A request for objects that this node is still fetching is held for up to [`MAX_HOLD`]: nodes
+//! fetch from the peer from which they learnt a head, so a change travels down that tree without
+//! retries.
 
 use super::driver::Driver;
 use crate::tasks::TaskGroup;
@@ -13,16 +14,16 @@
 use sycamore_peer::{Call, Objects};
 use sycamore_types::prelude::*;
 
-/// Longest time that a call is held.
-const HOLD: Duration = Duration::from_millis(300);
-/// Time between two looks at the calls held.
-const LOOK: Duration = Duration::from_millis(50);
-/// Calls held at once.
+/// Longest time a request is held.
+const MAX_HOLD: Duration = Duration::from_millis(300);
+/// Time between two checks of the held requests.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Held requests at most; further ones are answered at once.
 const MAX_HELD: usize = 64;
 
 type FetchCall = Call<Vec<ContentHash>, Objects>;
 
-/// Starts the task.
+/// Spawns the task that answers peers' requests.
 pub(super) fn start(driver: &Rc<Driver>, tasks: &TaskGroup) {
     let Some(mut calls) = driver.peers.take_fetch() else { return };
     let driver = driver.clone();
@@ -34,7 +35,7 @@
                 false => next_or_change(&driver, &mut calls).await,
             };
             match next {
-                Some(Some(call)) => take(&driver, call, &mut held),
+                Some(Some(call)) => answer_or_hold(&driver, call, &mut held),
                 Some(None) => return,
                 None => {}
             }
@@ -43,24 +44,25 @@
     });
 }
 
-/// The next call, or `None` where the objects held have changed or some time has passed.
+/// Waits for the next request; gives `None` if this node's objects changed or [`CHECK_INTERVAL`]
+/// passed first. The inner `None` means that the queue of requests is closed.
 async fn next_or_change(
     driver: &Driver,
     calls: &mut crate::peers::FetchCalls,
 ) -> Option<Option<FetchCall>> {
     monoio::select! {
         call = calls.next() => Some(call),
-        () = driver.gained.notified() => None,
-        () = monoio::time::sleep(LOOK) => None,
+        () = driver.objects_changed.notified() => None,
+        () = monoio::time::sleep(CHECK_INTERVAL) => None,
     }
 }
 
-/// Answers `call`, or holds it where its first object is on its way.
-fn take(driver: &Driver, call: FetchCall, held: &mut VecDeque<(Time, FetchCall)>) {
+/// Answers `call`, or holds it if this node has none of its objects yet and is fetching one.
+fn answer_or_hold(driver: &Driver, call: FetchCall, held: &mut VecDeque<(Time, FetchCall)>) {
     let objects = objects(driver, &call.body);
-    let wanted = call.body.iter().any(|hash| driver.read(|apply| apply.is_wanted(hash)));
+    let wanted = call.body.iter().any(|hash| driver.with_state(|apply| apply.is_wanted(hash)));
     if objects.is_empty() && wanted && held.len() < MAX_HELD {
-        held.push_back((driver.hub.clock.now() + HOLD, call));
+        held.push_back((driver.hub.clock.now() + MAX_HOLD, call));
     } else {
         answer(call, objects);
     }
@@ -80,16 +82,16 @@
 }
 
 fn answer(call: FetchCall, objects: Objects) {
-    // The caller may have given up; then nobody takes the answer.
+    // The send fails if the caller has given up, which is harmless.
     let _ = call.tx.send(objects);
 }
 
-/// Those of the objects that this node holds, as far as they fit into one answer.
+/// Collects the requested objects that this node has, up to [`MAX_FETCH_BYTES`].
 fn objects(driver: &Driver, hashes: &[ContentHash]) -> Objects {
     let mut room = MAX_FETCH_BYTES;
     let mut objects = Objects::new();
     for hash in hashes {
-        let Some(body) = driver.read(|apply| apply.object(hash).cloned()) else { continue };
+        let Some(body) = driver.with_state(|apply| apply.object(hash).cloned()) else { continue };
         if body.len() > room {
             break;
         }
