--- a/crates/sycamore-node/src/moves/act.rs
+++ b/crates/sycamore-node/src/moves/act.rs
@@ -1,4 +1,4 @@
-//! Does what the state machines ask for.
+//! Executes the actions of the moves' state machines.
 
 use super::rows;
 use super::state::{Entry, State};
@@ -11,32 +11,34 @@
 use sycamore_platform::{PageQuery, Row, Table};
 use sycamore_types::prelude::*;
 
+/// Key prefix of members' rows.
 const MEMBER_PREFIX: &str = "member/";
-/// Rows of members in a page.
+/// Members' rows read per page.
 const PAGE_ROWS: usize = 500;
-/// Failed requests after which a write is left to the next try.
-const WRITE_FAILURES: u32 = 3;
+/// Failed requests after which one attempt to write a row ends.
+const MAX_WRITE_FAILURES: u32 = 3;
 
-/// Lets time pass for every move.
+/// Ticks the state machine of every move and executes the resulting actions.
 pub(super) fn tick(state: &Rc<State>) {
     let now = state.now();
     let (live, regions) = state.service_peers();
-    let mut wanted = Vec::new();
+    let mut pending = Vec::new();
     for (mv, entry) in state.moves.borrow_mut().iter_mut() {
         if state.is_own(&entry.control.row().0.spec.service) {
             let peers = Input::Peers { live: live.clone(), regions: regions.clone() };
             let actions = entry.control.step(now, peers);
-            wanted.extend(actions.into_iter().map(|action| (mv.clone(), action)));
+            pending.extend(actions.into_iter().map(|action| (mv.clone(), action)));
         }
         let actions = entry.control.step(now, Input::Tick);
-        wanted.extend(actions.into_iter().map(|action| (mv.clone(), action)));
-        record(state, entry, now.wall);
+        pending.extend(actions.into_iter().map(|action| (mv.clone(), action)));
+        record_progress(state, entry, now.wall);
     }
-    perform(state, wanted);
+    execute(state, pending);
 }
 
-/// Records steps and ends on the time line; nodes of the move's service do so for all.
-fn record(state: &State, entry: &mut Entry, wall: WallTime) {
+/// Records a move's steps and its end on the timeline. Only nodes of the move's service record
+/// them, on behalf of the fleet.
+fn record_progress(state: &State, entry: &mut Entry, wall: WallTime) {
     let (row, _) = entry.control.row();
     if !state.is_own(&row.spec.service) {
         return;
@@ -58,38 +60,43 @@
     }
 }
 
-/// Does what the machines of `wanted` ask for.
-pub(super) fn perform(state: &Rc<State>, wanted: Vec<(MoveId, Action)>) {
-    for (mv, action) in wanted {
+/// Executes actions of moves' state machines; those that need the platform run as short tasks.
+pub(super) fn execute(state: &Rc<State>, pending: Vec<(MoveId, Action)>) {
+    for (mv, action) in pending {
         match action {
             Action::Raise(fact) => state.hub.raise(fact),
             Action::ReadRegistry => {
-                let errand = read_registry(state.clone(), mv);
-                state.errands.spawn_until_stop(errand);
+                let task = read_registry(state.clone(), mv);
+                state.short_tasks.spawn_until_stop(task);
             }
             Action::End { outcome, .. } => {
                 if begin_ending(state, &mv) {
-                    state.errands.spawn_until_stop(write_end(state.clone(), mv, outcome));
+                    let task = write_outcome(state.clone(), mv, outcome);
+                    state.short_tasks.spawn_until_stop(task);
                 }
             }
         }
     }
 }
 
+/// Marks a move's outcome as being written. Returns `false` if it is being written already or the
+/// move is unknown.
 fn begin_ending(state: &State, mv: &MoveId) -> bool {
     let mut moves = state.moves.borrow_mut();
     moves.get_mut(mv).is_some_and(|entry| !std::mem::replace(&mut entry.ending, true))
 }
 
+/// Lists the registered instances of this node's service for the move `mv`; gives up if the
+/// platform fails.
 async fn read_registry(state: Rc<State>, mv: MoveId) {
     let service = state.hub.settings.node.service.clone();
-    let mut listed = Vec::new();
+    let mut instances = Vec::new();
     let mut after = String::new();
     loop {
         let query = PageQuery { prefix: MEMBER_PREFIX, after: &after, limit: PAGE_ROWS };
         let Ok(page) = state.platform.http().list(query).await else { return };
-        let members = page.rows.iter().filter_map(member);
-        listed.extend(members.filter(|member| member.service == service).map(|member| Peer {
+        let members = page.rows.iter().filter_map(decode_member);
+        instances.extend(members.filter(|member| member.service == service).map(|member| Peer {
             instance: member.instance,
             incarnation: member.incarnation,
             version: member.version,
@@ -102,32 +109,33 @@
     }
     let now = state.now();
     let actions = match state.moves.borrow_mut().get_mut(&mv) {
-        Some(entry) => entry.control.step(now, Input::Registry(listed)),
+        Some(entry) => entry.control.step(now, Input::Registry(instances)),
         None => Vec::new(),
     };
-    perform(&state, actions.into_iter().map(|action| (mv.clone(), action)).collect());
+    execute(&state, actions.into_iter().map(|action| (mv.clone(), action)).collect());
 }
 
-fn member(row: &Row) -> Option<Member> {
+fn decode_member(row: &Row) -> Option<Member> {
     serde_json::from_value(row.value.clone()).ok()
 }
 
-async fn write_end(state: Rc<State>, mv: MoveId, outcome: Outcome) {
+async fn write_outcome(state: Rc<State>, mv: MoveId, outcome: Outcome) {
     let key = match state.moves.borrow().get(&mv) {
         Some(entry) => move_key(&entry.control.row().0.plan, &mv),
         None => return,
     };
-    end_once(&state, &key, outcome).await;
+    write_outcome_once(&state, &key, outcome).await;
     if let Some(entry) = state.moves.borrow_mut().get_mut(&mv) {
         entry.ending = false;
     }
 }
 
-/// Reads the row and writes its outcome, unless it has one. What stands is learnt in any case.
-async fn end_once(state: &State, key: &str, outcome: Outcome) {
+/// Writes the outcome of the move in row `key` unless the row has one. The row as it then stands is
+/// learnt in either case.
+async fn write_outcome_once(state: &State, key: &str, outcome: Outcome) {
     let Ok(Some(stored)) = state.platform.http().get(key).await else { return };
     let Ok(row) = serde_json::from_value::<MoveRow>(stored.value.clone()) else {
-        warn!(state.hub.log, "a move's row can't be read"; "key" => key);
+        warn!(state.hub.log, "malformed move row"; "key" => key);
         return;
     };
     let change = Change {
@@ -138,8 +146,8 @@
     let op = change.op;
     match end(&row, stored.revision.0, outcome, change) {
         Err(conflict) => {
-            info!(state.hub.log, "a move had ended"; "key" => key, "conflict" => %conflict);
-            rows::take(state, row, stored.revision.0);
+            info!(state.hub.log, "move already ended"; "key" => key, "conflict" => %conflict);
+            rows::learn(state, row, stored.revision.0);
         }
         Ok(write) => {
             write_row(state, &stored, write.row, op).await;
@@ -147,7 +155,8 @@
     }
 }
 
-/// Writes `row` over `stored`; gives what the table's answer settled.
+/// Replaces `stored` by `row` if it is unchanged in the table, and learns the row that then stands.
+/// `None` if `row` can't be encoded.
 pub(super) async fn write_row(
     state: &State,
     stored: &Row,
@@ -163,15 +172,15 @@
         conditions: Vec::new(),
         writes: Vec::new(),
     };
-    let settings = SettleSettings { failures: WRITE_FAILURES, ..SettleSettings::default() };
+    let settings = SettleSettings { failures: MAX_WRITE_FAILURES, ..SettleSettings::default() };
     let table = state.platform.http();
     let settled = propose(table, proposal, &settings, rand::rng().random()).await;
     match &settled {
-        Settled::Won { revision } => rows::take(state, row, revision.0),
+        Settled::Won { revision } => rows::learn(state, row, revision.0),
         Settled::Lost { winner } => {
             let value = winner.value.clone().unwrap_or_default();
-            if let Ok(standing) = serde_json::from_value::<MoveRow>(value) {
-                rows::take(state, standing, winner.revision.0);
+            if let Ok(current) = serde_json::from_value::<MoveRow>(value) {
+                rows::learn(state, current, winner.revision.0);
             }
         }
         Settled::Unknown { .. } => {}
--- a/crates/sycamore-node/src/moves/commands.rs
+++ b/crates/sycamore-node/src/moves/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands: import a sheet, abort a move.
+//! The operator commands `sheet-import` and `move-abort`.
 
 use super::state::State;
 use super::{act, rows, Moves};
@@ -15,11 +15,12 @@
 use sycamore_platform::{Condition, Conflict, PageQuery, Revision, Row, Table, Write};
 use sycamore_types::prelude::*;
 
-/// Rows in a page.
+/// Rows of moves read per page.
 const PAGE_ROWS: usize = 500;
-/// Pages read for one import at most.
+/// Pages read for one import at most; rows beyond them are ignored.
 const MAX_PAGES: usize = 8;
 
+/// Body of the command `sheet-import`.
 #[derive(Deserialize)]
 struct ImportBody {
     operator: OperatorName,
@@ -28,6 +29,7 @@
     sheet: String,
 }
 
+/// Body of the command `move-abort`.
 #[derive(Deserialize)]
 struct AbortBody {
     operator: OperatorName,
@@ -39,10 +41,11 @@
 }
 
 impl Moves {
-    /// Imports the sheet in `body` as a plan.
+    /// Runs the command `sheet-import`: imports the release sheet in `body` as a plan.
     ///
     /// # Errors
-    /// [`OperatorError`] where the sheet is faulty, somebody else won or the platform is out.
+    /// [`OperatorError`] if the sheet is invalid, another change was committed first or the
+    /// platform is unavailable.
     pub async fn import(&self, body: &[u8]) -> Result<Value, OperatorError> {
         let body: ImportBody = serde_json::from_slice(body).map_err(OperatorError::bad_input)?;
         let cap = self.state.hub.settings.moves.unproven_share;
@@ -55,10 +58,11 @@
         import_specs(&self.state, &body, &specs).await
     }
 
-    /// Aborts a move; works with the platform out as well.
+    /// Runs the command `move-abort`: takes the move in `body` back. Also works while the platform
+    /// is unavailable, as the abort spreads between nodes.
     ///
     /// # Errors
-    /// [`OperatorError`] where there is no such move or it has ended.
+    /// [`OperatorError`] if the move is unknown or has ended.
     pub async fn abort(&self, body: &[u8]) -> Result<Value, OperatorError> {
         let body: AbortBody = serde_json::from_slice(body).map_err(OperatorError::bad_input)?;
         if !self.state.moves.borrow().contains_key(&body.mv) {
@@ -74,7 +78,7 @@
     specs: &[MoveSpec],
 ) -> Result<Value, OperatorError> {
     let plan_row = get(state, &plan_key(&body.plan)).await?;
-    let stored = stored(state, plan_row.as_ref()).await?;
+    let stored = read_stored(state, plan_row.as_ref()).await?;
     let change = Change {
         author: Author::Operator(body.operator.clone()),
         op: body.op,
@@ -82,16 +86,16 @@
     };
     let imported =
         import(&body.plan, specs, &stored, &change).map_err(|error| OperatorError::BadInput {
-            error: "the sheet can't be taken; nothing was imported".to_owned(),
+            error: format!("{} moves were refused; nothing was imported", error.refusals.len()),
             faults: error.refusals.iter().map(|(mv, why)| format!("move {mv}: {why}")).collect(),
         })?;
-    let held = plan_row.as_ref().map_or(0, |row| row.revision.0);
+    let stored_revision = plan_row.as_ref().map_or(0, |row| row.revision.0);
     let revision = match &imported.plan {
-        None => held,
+        None => stored_revision,
         Some(write) => {
             let revision = commit(state, plan_row.as_ref(), &write.row, &imported).await?;
             for write in &imported.moves {
-                rows::take(state, write.row.clone(), write.revision + 1);
+                rows::learn(state, write.row.clone(), write.revision + 1);
             }
             state.hub.record(EventKind::PlanImported { plan: body.plan.clone() });
             super::shares::publish(state);
@@ -110,8 +114,8 @@
     }))
 }
 
-/// The plan's row as given, and all moves of the table.
-async fn stored(state: &State, plan: Option<&Row>) -> Result<Stored, OperatorError> {
+/// Decodes the plan's row and reads the rows of all moves from the table.
+async fn read_stored(state: &State, plan: Option<&Row>) -> Result<Stored, OperatorError> {
     let plan = match plan {
         None => None,
         Some(row) => Some((parse::<PlanRow>(row)?, row.revision.0)),
@@ -133,7 +137,7 @@
     Ok(Stored { plan, moves })
 }
 
-/// Writes the plan and its changed moves in one transaction.
+/// Writes the plan and its changed moves in one transaction; returns the plan's new revision.
 async fn commit(
     state: &State,
     base: Option<&Row>,
@@ -161,7 +165,7 @@
     match propose(table, proposal, &SettleSettings::default(), rand::random()).await {
         Settled::Won { revision } => Ok(revision.0),
         Settled::Lost { winner } => Err(conflict(&winner)),
-        Settled::Unknown { may_have_run } => Err(unknown(may_have_run)),
+        Settled::Unknown { may_have_run } => Err(import_unknown(may_have_run)),
     }
 }
 
@@ -181,13 +185,16 @@
         }
     };
     if let Some(row) = ended {
-        return Err(ended_before(&row));
+        return Err(already_ended(&row));
     }
-    // The safe direction needs nobody: it spreads now and is recorded as soon as that can be done.
+    // Taking a move back is always safe and needs no agreement: the fact spreads at once, and
+    // the table is updated when the platform answers.
     state.hub.raise(fact);
     record_abort(state, &key, body).await
 }
 
+/// Writes the abort into the move's row. The answer holds revision `null` if the platform does not
+/// confirm the write.
 async fn record_abort(
     state: &Rc<State>,
     key: &str,
@@ -207,13 +214,13 @@
         at: state.hub.clock.wall(),
     };
     let write = match abort(&row, stored.revision.0, &body.reason, evidence, change) {
-        // The answer to an earlier try of the same command was lost.
+        // This operation was recorded by an earlier attempt whose answer was lost.
         Err(_) if row.op == body.op => {
             return Ok(json!({ "move": body.mv, "revision": stored.revision.0 }));
         }
         Err(_) => {
-            rows::take(state, row.clone(), stored.revision.0);
-            return Err(ended_before(&row));
+            rows::learn(state, row.clone(), stored.revision.0);
+            return Err(already_ended(&row));
         }
         Ok(write) => write,
     };
@@ -235,20 +242,20 @@
 }
 
 fn unavailable(report: error_stack::Report<sycamore_platform::Error>) -> OperatorError {
-    OperatorError::Unavailable(format!("the platform is out: {}", report.current_context()))
+    OperatorError::Unavailable(format!("the platform is unavailable: {}", report.current_context()))
 }
 
-fn unknown(may_have_run: bool) -> OperatorError {
-    let effect = if may_have_run { "may have had its effect" } else { "had no effect" };
-    OperatorError::Unavailable(format!("the platform is out; the import {effect}"))
+fn import_unknown(may_have_run: bool) -> OperatorError {
+    let effect = if may_have_run { "may have been committed" } else { "was not committed" };
+    OperatorError::Unavailable(format!("the platform is unavailable; the import {effect}"))
 }
 
-fn ended_before(row: &MoveRow) -> OperatorError {
+fn already_ended(row: &MoveRow) -> OperatorError {
     let conflict = sycamore_moves::plan::Conflict::with(row);
     OperatorError::Conflict { error: conflict.to_string(), winner: conflict.winner.to_string() }
 }
 
-/// The conflict that `winner`, a plan's or a move's row, stands for.
+/// Describes the conflict with `winner`, the row of a plan or of a move that was committed first.
 fn conflict(winner: &Conflict) -> OperatorError {
     let value = winner.value.clone().unwrap_or_default();
     let conflict = match serde_json::from_value::<MoveRow>(value.clone()) {
@@ -262,7 +269,7 @@
             OperatorError::Conflict { error: found.to_string(), winner: found.winner.to_string() }
         }
         None => OperatorError::Conflict {
-            error: format!("row {} was changed", winner.key),
+            error: format!("row {} was changed by another writer", winner.key),
             winner: "unknown".to_owned(),
         },
     }
--- a/crates/sycamore-node/src/moves/evidence.rs
+++ b/crates/sycamore-node/src/moves/evidence.rs
@@ -1,4 +1,5 @@
-//! Evidence: counted beside the upstream, sent to the merging nodes, and taken in there.
+//! Evidence about the versions of a move: counted at the local upstream, reported to the nodes that
+//! merge it, and merged there.
 
 use super::state::{Entry, State};
 use bytes::Bytes;
@@ -10,14 +11,14 @@
 use sycamore_peer::Evidence;
 use sycamore_types::prelude::*;
 
-/// Layout of the messages: a report of `sycamore_moves::evidence`.
+/// Message kind of an encoded [`Report`].
 const KIND_REPORT: u32 = 1;
-/// Evidence is counted from this long before a move starts, to know the old version.
-const LEAD: Duration = Duration::from_secs(60);
-/// A report that says nothing new is repeated after this time, as a sign of life.
-const REPEAT: Duration = Duration::from_millis(1_500);
+/// Time before a move's start from which evidence is counted, as a baseline of the old version.
+const BASELINE_TIME: Duration = Duration::from_secs(60);
+/// Time after which an unchanged report is sent again as a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Counts the outcomes of calls beside this node.
+/// Counts the outcomes of calls to the local upstream for each open move of its service.
 pub(super) async fn collect(state: Rc<State>) {
     let Some(mut outcomes) = state.hub.take_outcomes() else { return };
     while let Some(outcome) = outcomes.recv().await {
@@ -34,7 +35,7 @@
     }
 }
 
-/// Counts a crash where the upstream is gone without having asked to leave.
+/// Counts a crash whenever the local upstream disappears without having asked to leave.
 pub(super) async fn watch_upstream(state: Rc<State>) {
     let mut upstream = state.hub.upstream.subscribe();
     let mut before = upstream.borrow_and_update().clone();
@@ -52,13 +53,14 @@
     }
 }
 
-/// The collector of a move about this node's service, from some time before its start on.
+/// Collector of a move of this node's service, created [`BASELINE_TIME`] before the move's start;
+/// `None` if the move is about another service or versions, has not come so far, or has ended.
 fn collector<'a>(state: &State, entry: &'a mut Entry) -> Option<&'a mut Collector> {
     let (row, _) = entry.control.row();
     let spec = &row.spec;
     let now = state.now();
-    let begun = now.wall + LEAD >= spec.start;
-    if entry.collector.is_none() && begun && !row.is_ended() && state.is_own(&spec.service) {
+    let due = now.wall + BASELINE_TIME >= spec.start;
+    if entry.collector.is_none() && due && !row.is_ended() && state.is_own(&spec.service) {
         let me = state.me()?;
         if me.version != spec.from && me.version != spec.to {
             return None;
@@ -70,7 +72,7 @@
     entry.collector.as_mut()
 }
 
-/// Sends what is due to the merging nodes.
+/// Sends the reports that are due to the nodes that merge them.
 pub(super) fn send(state: &Rc<State>) {
     let now = state.now();
     let interval = state.hub.settings.moves.evidence_interval;
@@ -79,7 +81,7 @@
         if entry.control.row().0.is_ended() || now.time.since(entry.sent) < interval {
             continue;
         }
-        let Some(report) = due(state, entry) else { continue };
+        let Some(report) = due_report(state, entry) else { continue };
         entry.sent = now.time;
         let mergers: Vec<InstanceId> = entry.control.mergers().into_iter().cloned().collect();
         for merger in mergers {
@@ -90,13 +92,14 @@
             }
         }
     }
-    own.into_iter().for_each(|report| take(state, report));
+    own.into_iter().for_each(|report| merge(state, report));
 }
 
-fn due(state: &State, entry: &mut Entry) -> Option<Report> {
+/// Report of a move to send now: the new one, or the unchanged one as a heartbeat.
+fn due_report(state: &State, entry: &mut Entry) -> Option<Report> {
     let now = state.now().time;
     let signed = entry.control.signed();
-    let silent = now.since(entry.sent) >= REPEAT;
+    let silent = now.since(entry.sent) >= HEARTBEAT_INTERVAL;
     let generation = state.me()?.incarnation;
     let collector = collector(state, entry)?;
     collector.known_as(generation);
@@ -108,23 +111,24 @@
         return;
     };
     let key = (mv.clone(), merger);
-    // One message to a merging node at a time: the next one holds all that this one does.
+    // One message at a time to each merging node: reports are cumulative, the next holds this one.
     if !state.sending.borrow_mut().insert(key.clone()) {
         return;
     }
     let evidence = Evidence { kind: KIND_REPORT, body: Bytes::from(encode(report)) };
-    let errand_state = state.clone();
-    state.errands.spawn_until_stop(async move {
-        let answer = errand_state.peers.calls().evidence(to, evidence).await;
-        errand_state.sending.borrow_mut().remove(&key);
+    let task_state = state.clone();
+    state.short_tasks.spawn_until_stop(async move {
+        let answer = task_state.peers.calls().evidence(to, evidence).await;
+        task_state.sending.borrow_mut().remove(&key);
         let verdict = answer.ok().and_then(|body| serde_json::from_slice::<Fact>(&body).ok());
         if let Some(verdict @ Fact::BadVersion { .. }) = verdict {
-            errand_state.hub.raise(verdict);
+            task_state.hub.raise(verdict);
         }
     });
 }
 
-/// Takes in the evidence of other nodes. The answer carries the verdict, where there is one.
+/// Merges the reports of other nodes; each answer holds the verdict on the version, if there is
+/// one.
 pub(super) async fn receive(state: Rc<State>) {
     let Some(mut calls) = state.peers.take_evidence() else { return };
     while let Some(call) = calls.next().await {
@@ -132,14 +136,15 @@
             continue;
         }
         let Ok(report) = decode(&call.body.body) else { continue };
-        let answer = verdict(&state, &report.mv);
-        take(&state, report);
-        // The sender may have given up; then nobody takes the answer.
+        let answer = encode_verdict(&state, &report.mv);
+        merge(&state, report);
+        // The send fails if the sender has given up, which is harmless.
         let _ = call.tx.send(answer);
     }
 }
 
-fn verdict(state: &State, mv: &MoveId) -> Bytes {
+/// Encodes the known verdict on the new version of move `mv`; empty if there is none.
+fn encode_verdict(state: &State, mv: &MoveId) -> Bytes {
     let key = match state.moves.borrow().get(mv) {
         Some(entry) => {
             let spec = &entry.control.row().0.spec;
@@ -152,12 +157,13 @@
     fact.map(Bytes::from).unwrap_or_default()
 }
 
-fn take(state: &Rc<State>, report: Report) {
+/// Feeds a report to the state machine of its move.
+fn merge(state: &Rc<State>, report: Report) {
     let now = state.now();
     let mv = report.mv.clone();
     let actions = match state.moves.borrow_mut().get_mut(&mv) {
         Some(entry) => entry.control.step(now, Input::Report(Box::new(report))),
         None => Vec::new(),
     };
-    super::act::perform(state, actions.into_iter().map(|action| (mv.clone(), action)).collect());
+    super::act::execute(state, actions.into_iter().map(|action| (mv.clone(), action)).collect());
 }
--- a/crates/sycamore-node/src/moves/mod.rs
+++ b/crates/sycamore-node/src/moves/mod.rs
@@ -1,4 +1,4 @@
-//! Release moves: the tasks around the state machines of `sycamore-moves`.
+//! Runs release moves: I/O and tasks around the state machines of `sycamore-moves`.
 
 mod act;
 mod commands;
@@ -19,18 +19,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time between two looks at the clock and the evidence.
+/// Time between two ticks of the moves' state machines.
 const TICK: Duration = Duration::from_millis(200);
 
-/// Release moves.
+/// Handle to the running moves subsystem.
 pub struct Moves {
     state: Rc<State>,
 }
 
-/// Starts the slice's tasks.
+/// Spawns the moves subsystem's tasks on `tasks`. With `operators`, this node also executes the
+/// release orders that operators write as rows.
 ///
 /// # Errors
-/// None so far.
+/// None at present.
 pub async fn start(
     hub: &Rc<Hub>,
     tasks: &TaskGroup,
@@ -45,14 +46,14 @@
     tasks.spawn_until_stop(evidence::watch_upstream(state.clone()));
     tasks.spawn_until_stop(evidence::receive(state.clone()));
     if let Some(edge) = operators {
-        tasks.spawn_until_stop(orders::follow(state.clone(), edge));
+        tasks.spawn_until_stop(orders::run(state.clone(), edge));
     }
     let ticking = state.clone();
     let mut stop = tasks.stop_signal();
     tasks.spawn(async move {
         stop.or(tick(ticking.clone())).await;
-        ticking.errands.stop();
-        ticking.errands.join().await;
+        ticking.short_tasks.stop();
+        ticking.short_tasks.join().await;
     });
     Ok(Rc::new(Moves { state }))
 }
--- a/crates/sycamore-node/src/moves/orders.rs
+++ b/crates/sycamore-node/src/moves/orders.rs
@@ -1,4 +1,5 @@
-//! Moves that operators order by a row: planned from it, and their state written back.
+//! Executes the release orders that operators write as rows: plans a move for each and writes its
+//! status back.
 
 use super::rows;
 use super::state::{Entry, State};
@@ -16,97 +17,105 @@
 use sycamore_platform::{Condition, Revision, Table, Transacted, Transaction, Write};
 use sycamore_types::prelude::*;
 
-/// The plan that ordered moves belong to.
-const PLAN: &str = "orders";
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(200);
-/// Part of an order's time that is kept back for telling its end.
-const TELL_PART: f64 = 0.12;
-/// Nodes that may plan a move, in turn.
-const PLANNERS: usize = 4;
-/// Time that each planner leaves to those before it.
-const TURN: Duration = Duration::from_millis(400);
-/// Time from the whole share to the word that the old version may stop, for the calls that it still
-/// runs.
-const OLD_CALLS: Duration = Duration::from_millis(1_500);
-/// Pause after a failed write.
-const RETRY: Duration = Duration::from_millis(500);
+/// Plan that moves planned from orders belong to.
+const ORDERS_PLAN: &str = "orders";
+/// Time between two checks of the orders.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Fraction of an order's duration that is reserved for writing its final status.
+const STATUS_RESERVE: f64 = 0.12;
+/// Nodes that may plan the move of an order, one after the other.
+const MAX_PLANNERS: usize = 4;
+/// Time each planner waits for every planner ranked before it.
+const PLANNER_DELAY: Duration = Duration::from_millis(400);
+/// Time from the full share of the new version to the status `done`, after which operators may stop
+/// the old version: its calls in flight must end first.
+const OLD_VERSION_DRAIN: Duration = Duration::from_millis(1_500);
+/// Least time between two attempts to plan a move or to write a status.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What this node last did for an order.
+/// Progress of this node on one order.
 #[derive(Debug, Clone, Copy, Default)]
 struct Progress {
+    /// Time at which the order was first seen.
     seen: Option<Time>,
-    tried: Option<Time>,
-    told: Option<ReleaseState>,
-    full: Option<Time>,
+    /// Time of the latest attempt to plan the move or to write its status.
+    attempted: Option<Time>,
+    /// Status that was last found or written in the table.
+    reported: Option<ReleaseState>,
+    /// Time at which the move was first seen as done.
+    done_at: Option<Time>,
 }
 
-/// Follows the orders for as long as the node runs.
-pub(super) async fn follow(state: Rc<State>, edge: Rc<dyn OperatorEdge>) {
-    let progress: RefCell<BTreeMap<MoveId, Progress>> = RefCell::default();
+/// Executes the known release orders until the task is stopped.
+pub(super) async fn run(state: Rc<State>, edge: Rc<dyn OperatorEdge>) {
+    let all_progress: RefCell<BTreeMap<MoveId, Progress>> = RefCell::default();
     loop {
-        monoio::time::sleep(LOOK).await;
+        monoio::time::sleep(CHECK_INTERVAL).await;
         let orders = state.hub.orders.borrow().clone();
         for (order, revision) in orders.values() {
             let Some(mv) = move_id(order, *revision) else { continue };
-            let mut done = progress.borrow().get(&mv).copied().unwrap_or_default();
-            serve(&state, &*edge, order, &mv, &mut done).await;
-            progress.borrow_mut().insert(mv, done);
+            let mut progress = all_progress.borrow().get(&mv).copied().unwrap_or_default();
+            advance(&state, &*edge, order, &mv, &mut progress).await;
+            all_progress.borrow_mut().insert(mv, progress);
         }
-        progress.borrow_mut().retain(|mv, _| {
+        all_progress.borrow_mut().retain(|mv, _| {
             orders.values().any(|(order, revision)| move_id(order, *revision).as_ref() == Some(mv))
         });
     }
 }
 
+/// Identifier of the move for an order whose row has `revision`; a rewritten order is a new move.
 fn move_id(order: &ReleaseOrder, revision: u64) -> Option<MoveId> {
     MoveId::new(format!("{}.{}.{revision}", order.service, order.to)).ok()
 }
 
-async fn serve(
+/// Plans the order's move or writes its status, if it is this node's turn and an attempt is due.
+async fn advance(
     state: &Rc<State>,
     edge: &dyn OperatorEdge,
     order: &ReleaseOrder,
     mv: &MoveId,
-    done: &mut Progress,
+    progress: &mut Progress,
 ) {
     let now = state.hub.clock.now();
-    let seen = *done.seen.get_or_insert(now);
+    let seen = *progress.seen.get_or_insert(now);
     let rank = own_rank(state, mv);
-    let stage = state.moves.borrow().get(mv).map(|entry| stage(entry, state, now, done));
-    let due = done.tried.is_none_or(|tried| now.since(tried) >= RETRY);
-    match stage {
-        None if due && rank < PLANNERS && now.since(seen) >= TURN * rank as u32 => {
-            done.tried = Some(now);
+    let status = state.moves.borrow().get(mv).map(|entry| status(entry, state, now, progress));
+    let due = progress.attempted.is_none_or(|tried| now.since(tried) >= RETRY_INTERVAL);
+    match status {
+        None if due && rank < MAX_PLANNERS && now.since(seen) >= PLANNER_DELAY * rank as u32 => {
+            progress.attempted = Some(now);
             plan(state, order, mv, now.since(seen)).await;
         }
-        Some(stage) if due && rank == 0 && done.told != Some(stage) => {
-            done.tried = Some(now);
-            if tell(state, edge, order, stage).await {
-                done.told = Some(stage);
+        Some(status) if due && rank == 0 && progress.reported != Some(status) => {
+            progress.attempted = Some(now);
+            if write_status(state, edge, order, status).await {
+                progress.reported = Some(status);
             }
         }
         _ => {}
     }
 }
 
-/// Place of this node among the live ones for `mv`, 0 for the first.
+/// Rank of this node among the known members for the move `mv` by rendezvous hashing; 0 is first.
 fn own_rank(state: &State, mv: &MoveId) -> usize {
     let view = state.hub.members.borrow().clone();
     let own = &state.hub.settings.node.instance;
     let score = |instance: &InstanceId| ContentHash::of(format!("{mv}\n{instance}").as_bytes());
-    let mine = score(own);
-    view.members.keys().filter(|instance| *instance != own && score(instance) > mine).count()
+    let own_score = score(own);
+    view.members.keys().filter(|instance| *instance != own && score(instance) > own_score).count()
 }
 
-fn stage(entry: &Entry, state: &State, now: Time, done: &mut Progress) -> ReleaseState {
+/// Status of an order whose move is `entry`. It becomes done [`OLD_VERSION_DRAIN`] after the move
+/// was seen as done, or at the move's deadline if that is earlier.
+fn status(entry: &Entry, state: &State, now: Time, progress: &mut Progress) -> ReleaseState {
     let (row, _) = entry.control.row();
     match &row.outcome {
         Some(Outcome { kind: OutcomeKind::TakenBack, .. }) => ReleaseState::TakenBack,
         Some(Outcome { kind: OutcomeKind::Done, .. }) => {
-            let full = *done.full.get_or_insert(now);
+            let done_at = *progress.done_at.get_or_insert(now);
             let late = state.hub.clock.wall() >= row.spec.deadline;
-            match now.since(full) >= OLD_CALLS || late {
+            match now.since(done_at) >= OLD_VERSION_DRAIN || late {
                 true => ReleaseState::Done,
                 false => ReleaseState::Running,
             }
@@ -115,11 +124,11 @@
     }
 }
 
-/// Plans the move; of several planners the first to write wins.
+/// Plans the move of an order that is `age` old. If several nodes plan it, the first write wins.
 async fn plan(state: &Rc<State>, order: &ReleaseOrder, mv: &MoveId, age: Duration) {
     let Some(from) = from_version(state, order) else { return };
     let now = state.hub.clock.wall();
-    let left = order.duration.saturating_sub(age).mul_f64(1.0 - TELL_PART).max(MIN_WINDOW);
+    let left = order.duration.saturating_sub(age).mul_f64(1.0 - STATUS_RESERVE).max(MIN_WINDOW);
     let spec = MoveSpec {
         mv: mv.clone(),
         service: order.service.clone(),
@@ -131,7 +140,7 @@
         watch: None,
         on_timeout: OnTimeout::TakeBack,
     };
-    let plan = PlanId::new(PLAN).expect("constant identifier");
+    let plan = PlanId::new(ORDERS_PLAN).expect("constant identifier");
     let row = MoveRow {
         schedule: fit(&spec, now, &FitOptions::for_window(left)),
         plan: plan.clone(),
@@ -146,17 +155,18 @@
         Ok(Some(revision)) => {
             info!(state.hub.log, "move planned"; "move" => %mv, "from" => %row.spec.from,
                 "to" => %row.spec.to, "deadline_ms" => row.spec.deadline.0);
-            rows::take(state, row, revision);
+            rows::learn(state, row, revision);
         }
         Ok(None) => rows::read_one(state, &key).await,
         Err(report) => {
-            warn!(state.hub.log, "move not planned"; "move" => %mv,
+            warn!(state.hub.log, "move could not be planned"; "move" => %mv,
                 "error" => %report.current_context());
         }
     }
 }
 
-/// The version that the order's move starts from, by what this node knows.
+/// Version that the order's move starts from, derived from the known moves and members; `None` if
+/// it can't be determined.
 fn from_version(state: &State, order: &ReleaseOrder) -> Option<UpstreamVersion> {
     let view = state.hub.members.borrow().clone();
     let moves = state.moves.borrow();
@@ -168,7 +178,7 @@
     version_before(&order.service, &order.to, known, serving)
 }
 
-/// Writes a row that must not exist; `None` where it does.
+/// Creates a row and returns its revision; `None` if the row exists.
 async fn create(state: &State, key: &str, row: &MoveRow) -> sycamore_platform::Result<Option<u64>> {
     let transaction = Transaction {
         conditions: vec![Condition { key: key.to_owned(), revision: Revision::ABSENT }],
@@ -180,23 +190,23 @@
     }
 }
 
-/// Tells operators where the order stands; an end that is told already stays. Gives whether it is
-/// told now.
-async fn tell(
+/// Writes the status of an order for operators; a final status in the table is never replaced.
+/// Returns whether the table holds `status` or a final status.
+async fn write_status(
     state: &State,
     edge: &dyn OperatorEdge,
     order: &ReleaseOrder,
-    stage: ReleaseState,
+    status: ReleaseState,
 ) -> bool {
-    let (key, value) = edge.status(order, stage);
+    let (key, value) = edge.status(order, status);
     let platform = state.platform.http();
     let Ok(row) = platform.get(&key).await else { return false };
-    let told = row.as_ref().map(|row| &row.value);
-    let end = |stage| Some(edge.status(order, stage).1);
-    let is_ended = told.is_some()
-        && (told.cloned() == end(ReleaseState::Done)
-            || told.cloned() == end(ReleaseState::TakenBack));
-    if told == Some(&value) || is_ended {
+    let stored = row.as_ref().map(|row| &row.value);
+    let encoded = |status| Some(edge.status(order, status).1);
+    let is_final = stored.is_some()
+        && (stored.cloned() == encoded(ReleaseState::Done)
+            || stored.cloned() == encoded(ReleaseState::TakenBack));
+    if stored == Some(&value) || is_final {
         return true;
     }
     let revision = row.map_or(Revision::ABSENT, |row| row.revision);
@@ -206,8 +216,8 @@
     };
     let written = matches!(platform.transact(&transaction).await, Ok(Transacted::Committed { .. }));
     if written {
-        info!(state.hub.log, "order's state told"; "service" => %order.service,
-            "to" => %order.to, "state" => format!("{stage:?}"));
+        info!(state.hub.log, "release status written"; "service" => %order.service,
+            "to" => %order.to, "state" => format!("{status:?}"));
     }
     written
 }
--- a/crates/sycamore-node/src/moves/queries.rs
+++ b/crates/sycamore-node/src/moves/queries.rs
@@ -1,4 +1,4 @@
-//! Operators' queries: plans, moves, report.
+//! The operator queries `plans`, `moves` and `report`.
 
 use super::state::State;
 use super::{rows, Moves};
@@ -9,20 +9,21 @@
 use sycamore_platform::{PageQuery, Table};
 use sycamore_types::prelude::*;
 
+/// Key prefix of plans' rows.
 const PLAN_PREFIX: &str = "plan/";
-/// Plans listed at most.
+/// Plans in one answer at most; further ones are left out.
 const MAX_PLANS: usize = 500;
 
 impl Moves {
-    /// The plans.
+    /// Answers the query `plans`: every plan with its moves and state.
     ///
     /// # Errors
-    /// [`OperatorError::Unavailable`] where the platform is out.
+    /// [`OperatorError::Unavailable`] if the platform does not answer.
     pub async fn plans(&self) -> Result<Value, OperatorError> {
         let query = PageQuery { prefix: PLAN_PREFIX, after: "", limit: MAX_PLANS };
         let page = self.state.platform.http().list(query).await.map_err(|report| {
             let error = report.current_context();
-            OperatorError::Unavailable(format!("the platform is out: {error}"))
+            OperatorError::Unavailable(format!("the platform is unavailable: {error}"))
         })?;
         let plans = page.rows.iter().filter_map(|row| {
             let plan: PlanRow = serde_json::from_value(row.value.clone()).ok()?;
@@ -37,31 +38,33 @@
         Ok(json!({ "plans": plans.collect::<Vec<_>>() }))
     }
 
-    /// The moves of `plan`, or of all plans.
+    /// Answers the query `moves`: the moves of `plan`, or all known moves if it is `None`.
     ///
     /// # Errors
-    /// [`OperatorError`] where there is no such plan or the platform is out.
+    /// [`OperatorError`] if the plan is unknown or the platform is unavailable.
     pub async fn moves(&self, plan: Option<&str>) -> Result<Value, OperatorError> {
         self.report(plan).await
     }
 
-    /// The report on `plan`, or on all plans.
+    /// Answers the query `report`: the moves of `plan`, or all known moves if it is `None`.
     ///
     /// # Errors
-    /// [`OperatorError`] where there is no such plan or the platform is out.
+    /// [`OperatorError`] if the plan is unknown or the platform is unavailable.
     pub async fn report(&self, plan: Option<&str>) -> Result<Value, OperatorError> {
         let plan = match plan {
             None => None,
             Some(text) => Some(PlanId::new(text).map_err(OperatorError::bad_input)?),
         };
-        let mut reports = self.known(plan.as_ref());
+        let mut reports = self.reports(plan.as_ref());
         if let (Some(plan), true) = (&plan, reports.is_empty()) {
             let answered = rows::read_all(&self.state, &format!("{MOVE_PREFIX}{plan}/")).await;
-            reports = self.known(Some(plan));
+            reports = self.reports(Some(plan));
             match (reports.is_empty(), answered) {
                 (true, true) => return Err(OperatorError::NotFound(format!("plan {plan}"))),
                 (true, false) => {
-                    return Err(OperatorError::Unavailable("the platform is out".to_owned()));
+                    return Err(OperatorError::Unavailable(
+                        "the platform is unavailable".to_owned(),
+                    ));
                 }
                 (false, _) => {}
             }
@@ -69,7 +72,8 @@
         Ok(json!({ "moves": reports }))
     }
 
-    fn known(&self, plan: Option<&PlanId>) -> Vec<MoveReport> {
+    /// Reports on the moves in memory, of `plan` only if it is given.
+    fn reports(&self, plan: Option<&PlanId>) -> Vec<MoveReport> {
         let wall = self.state.hub.clock.wall();
         let moves = self.state.moves.borrow();
         let of_plan = moves
@@ -79,6 +83,7 @@
     }
 }
 
+/// State of a plan by the moves in memory; moves that were forgotten count as open.
 fn plan_state(state: &State, plan: &PlanRow) -> &'static str {
     let moves = state.moves.borrow();
     let ended = plan
--- a/crates/sycamore-node/src/moves/rows.rs
+++ b/crates/sycamore-node/src/moves/rows.rs
@@ -1,4 +1,4 @@
-//! Agreed rows: read from the table within a budget for the whole fleet, and spread as facts.
+//! Rows of moves: read from the platform's table within a fleet-wide budget, and spread as facts.
 
 use super::state::State;
 use rand::Rng;
@@ -11,33 +11,35 @@
 use sycamore_types::fact::MAX_ROW_BYTES;
 use sycamore_types::prelude::*;
 
-/// Part of the fleet's reads that goes into looking for changed rows.
-const READ_PART: f64 = 0.25;
-/// Shortest time between two looks of one node.
-const MIN_INTERVAL: Duration = Duration::from_secs(5);
-/// Longest random delay before the first look.
+/// Fraction of the fleet's read budget spent on polling the rows of moves.
+const READ_BUDGET_SHARE: f64 = 0.25;
+/// Shortest mean time between two polls of one node.
+const MIN_POLL_INTERVAL: Duration = Duration::from_secs(5);
+/// Longest random delay before the first poll.
 const START_JITTER: Duration = Duration::from_secs(1);
-/// Rows in a page.
+/// Rows read per page.
 const PAGE_ROWS: usize = 100;
-/// Pages read in one look at most.
+/// Pages read in one poll at most; rows beyond them are ignored.
 const MAX_PAGES: usize = 16;
-/// Copies of rows are kept this long after the deadline.
-const KEEP: Duration = Duration::from_secs(86_400);
+/// Time after a move's deadline until the facts that hold its row expire.
+const FACT_RETENTION: Duration = Duration::from_secs(86_400);
 
-/// Looks for rows at the start and then at long intervals; facts bring them sooner.
+/// Polls the rows of all moves at the start and then at long intervals; changes usually arrive
+/// sooner as facts.
 pub(super) async fn poll(state: Rc<State>) {
     monoio::time::sleep(START_JITTER.mul_f64(rand::random())).await;
     loop {
         read_all(&state, MOVE_PREFIX).await;
         let nodes = state.hub.members.borrow().members.len().max(1);
-        let reads = f64::from(state.hub.settings.platform.fleet_reads_per_s) * READ_PART;
-        let interval = Duration::from_secs_f64(nodes as f64 / reads.max(0.1)).max(MIN_INTERVAL);
+        let reads = f64::from(state.hub.settings.platform.fleet_reads_per_s) * READ_BUDGET_SHARE;
+        let interval =
+            Duration::from_secs_f64(nodes as f64 / reads.max(0.1)).max(MIN_POLL_INTERVAL);
         let jitter: f64 = rand::rng().random_range(0.5..1.5);
         monoio::time::sleep(interval.mul_f64(jitter)).await;
     }
 }
 
-/// Reads all rows under `prefix`; gives whether the platform answered.
+/// Reads and learns the rows of moves under `prefix`. Returns whether the platform answered.
 pub(super) async fn read_all(state: &State, prefix: &str) -> bool {
     let mut after = String::new();
     for _ in 0..MAX_PAGES {
@@ -45,13 +47,14 @@
         let page = match state.platform.http().list(query).await {
             Ok(page) => page,
             Err(report) => {
-                debug!(state.hub.log, "moves could not be read"; "error" => %report.current_context());
+                debug!(state.hub.log, "rows of moves could not be read";
+                    "error" => %report.current_context());
                 return false;
             }
         };
         for row in &page.rows {
             if let Ok(parsed) = serde_json::from_value::<MoveRow>(row.value.clone()) {
-                take(state, parsed, row.revision.0);
+                learn(state, parsed, row.revision.0);
             }
         }
         match page.rows.last() {
@@ -62,21 +65,21 @@
     true
 }
 
-/// Reads one row.
+/// Reads and learns the row of one move.
 pub(super) async fn read_one(state: &State, key: &str) {
     let Ok(Some(row)) = state.platform.http().get(key).await else { return };
     if let Ok(parsed) = serde_json::from_value::<MoveRow>(row.value) {
-        take(state, parsed, row.revision.0);
+        learn(state, parsed, row.revision.0);
     }
 }
 
-/// Takes in a row that was read or written, and spreads it where it is news.
-pub(super) fn take(state: &State, row: MoveRow, revision: u64) {
+/// Learns a row that was read or written, and raises a fact for it if it is new and fits into one.
+pub(super) fn learn(state: &State, row: MoveRow, revision: u64) {
     let Ok(text) = serde_json::to_string(&row) else { return };
     let fact = Fact::MoveRow {
         mv: row.spec.mv.clone(),
         revision,
-        until: row.spec.deadline + KEEP,
+        until: row.spec.deadline + FACT_RETENTION,
         row: text,
     };
     let small = matches!(&fact, Fact::MoveRow { row, .. } if row.len() <= MAX_ROW_BYTES);
@@ -85,16 +88,16 @@
     }
 }
 
-/// Feeds facts to the moves as they come in.
+/// Feeds new and changed facts to the moves' state machines until the task is stopped.
 pub(super) async fn follow_facts(state: Rc<State>) {
     let mut known = state.hub.facts.subscribe();
     let mut before = known.borrow_and_update().clone();
-    before.values().for_each(|fact| feed(&state, fact));
+    before.values().for_each(|fact| apply_fact(&state, fact));
     while known.changed().await.is_ok() {
         let now = known.borrow_and_update().clone();
         for (key, fact) in now.iter() {
             if before.get(key) != Some(fact) {
-                feed(&state, fact);
+                apply_fact(&state, fact);
             }
         }
         before = now;
@@ -102,7 +105,7 @@
     }
 }
 
-fn feed(state: &Rc<State>, fact: &Fact) {
+fn apply_fact(state: &Rc<State>, fact: &Fact) {
     match fact {
         Fact::MoveRow { revision, row, .. } => {
             if let Ok(row) = serde_json::from_str::<MoveRow>(row) {
@@ -113,13 +116,13 @@
             let now = state.now();
             state.hub.timeline().borrow_mut().observe(*at, now.wall);
             let mut moves = state.moves.borrow_mut();
-            let mut wanted = Vec::new();
+            let mut pending = Vec::new();
             for (mv, entry) in moves.iter_mut() {
                 let actions = entry.control.step(now, Input::Fact(fact.clone()));
-                wanted.extend(actions.into_iter().map(|action| (mv.clone(), action)));
+                pending.extend(actions.into_iter().map(|action| (mv.clone(), action)));
             }
             drop(moves);
-            super::act::perform(state, wanted);
+            super::act::execute(state, pending);
         }
         Fact::Quarantined { .. } | Fact::CrashSeen { .. } | Fact::Head(_) => {}
     }
--- a/crates/sycamore-node/src/moves/state.rs
+++ b/crates/sycamore-node/src/moves/state.rs
@@ -1,4 +1,4 @@
-//! What the slice's tasks share.
+//! State shared by the tasks of the moves subsystem.
 
 use crate::hub::Hub;
 use crate::peers::Peers;
@@ -13,66 +13,68 @@
 use sycamore_moves::plan::MoveRow;
 use sycamore_types::prelude::*;
 
-/// Moves held in memory at most; ended ones that are no service's last go first.
+/// Moves kept in memory at most; beyond it, the ended move with the oldest deadline is removed.
 pub const MAX_MOVES: usize = 1_024;
-/// Bounds of the time after which an instance that is gone counts out of a move's signatures.
+/// Shortest time after which a move no longer waits for the signature of an instance that is gone.
 const MIN_RETIRE: Duration = Duration::from_secs(5);
+/// Longest time after which a move no longer waits for the signature of an instance that is gone.
 const MAX_RETIRE: Duration = Duration::from_secs(30);
 
-/// One move on this node.
+/// Move known to this node.
 pub struct Entry {
-    /// Its state machine.
+    /// State machine of the move.
     pub control: MoveControl,
-    /// Counts what runs beside this node, while the move is open and about its service.
+    /// Counts outcomes of the local upstream's calls; `None` until the first count, and for moves
+    /// that don't concern the upstream's service or version.
     pub collector: Option<Collector>,
-    /// When evidence was last sent.
+    /// Time at which evidence was last sent.
     pub sent: Time,
-    /// The phase and share that were last recorded on the time line.
+    /// Phase and share that were last recorded on the timeline.
     pub recorded: Option<(Phase, Share)>,
-    /// An outcome is being written.
+    /// Whether an outcome is being written to the table.
     pub ending: bool,
 }
 
-/// What the slice's tasks share.
+/// State shared by the tasks of the moves subsystem.
 pub struct State {
-    /// What the slices share.
+    /// State shared by the subsystems of the node.
     pub hub: Rc<Hub>,
-    /// The table.
+    /// Client of the platform's table.
     pub platform: Rc<Platform>,
-    /// Other nodes.
+    /// Client of other nodes.
     pub peers: Rc<Peers>,
-    /// The moves by name.
+    /// Known moves by identifier.
     pub moves: RefCell<BTreeMap<MoveId, Entry>>,
-    /// Short tasks: sending evidence, writing outcomes.
-    pub errands: TaskGroup,
-    /// Merging nodes that evidence is being sent to.
+    /// Short tasks that send evidence, read the registry or write outcomes.
+    pub short_tasks: TaskGroup,
+    /// Moves and merging nodes for which evidence is being sent.
     pub sending: RefCell<BTreeSet<(MoveId, InstanceId)>>,
 }
 
 impl State {
-    /// A state without moves.
+    /// Creates a state without moves.
     pub fn new(hub: Rc<Hub>, platform: Rc<Platform>, peers: Rc<Peers>) -> Self {
         Self {
             hub,
             platform,
             peers,
             moves: RefCell::default(),
-            errands: TaskGroup::default(),
+            short_tasks: TaskGroup::default(),
             sending: RefCell::default(),
         }
     }
 
-    /// Both clocks.
+    /// Current monotonic and wall time.
     pub fn now(&self) -> Moment {
         Moment { time: self.hub.clock.now(), wall: self.hub.clock.wall() }
     }
 
-    /// Whether `service` is the one beside this node.
+    /// Whether `service` is the service of the local upstream.
     pub fn is_own(&self, service: &ServiceName) -> bool {
         self.hub.settings.node.service == *service
     }
 
-    /// The live instances of this node's service, and the regions in which members are seen.
+    /// Serving instances of this node's service, and the regions of all known members.
     pub fn service_peers(&self) -> (Vec<Peer>, BTreeSet<Region>) {
         let view = self.hub.members.borrow().clone();
         let peer = |member: &Member| Peer {
@@ -86,20 +88,21 @@
         (live, regions)
     }
 
-    /// This node as a member of the fleet; `None` until it knows itself as one.
+    /// This node's own member record; `None` until it is in the membership view.
     pub fn me(&self) -> Option<Member> {
         self.hub.members.borrow().members.get(&self.hub.settings.node.instance).cloned()
     }
 
-    /// Takes in a row; an older revision than known changes nothing. Gives whether it was news.
+    /// Learns a move's row; an older revision than the known one changes nothing. Returns whether
+    /// the row was new.
     pub fn learn(&self, row: MoveRow, revision: u64) -> bool {
         let now = self.now();
         let mut moves = self.moves.borrow_mut();
         if let Some(entry) = moves.get_mut(&row.spec.mv) {
-            let is_news = revision > entry.control.row().1;
+            let is_new = revision > entry.control.row().1;
             let input = sycamore_moves::control::Input::Row { row: Box::new(row), revision };
             entry.control.step(now, input);
-            return is_news;
+            return is_new;
         }
         let watch = row.schedule.steps[row.schedule.watch_step()].hold;
         let options = ControlOptions {
@@ -115,13 +118,14 @@
         let entry =
             Entry { control, collector: None, sent: Time(0), recorded: None, ending: false };
         moves.insert(mv, entry);
-        forget(&mut moves);
+        evict_excess(&mut moves);
         true
     }
 }
 
-/// Keeps the number of moves within bounds: the ended move with the oldest deadline goes first.
-fn forget(moves: &mut BTreeMap<MoveId, Entry>) {
+/// Removes ended moves, oldest deadline first, until at most [`MAX_MOVES`] are left. Open moves are
+/// never removed.
+fn evict_excess(moves: &mut BTreeMap<MoveId, Entry>) {
     while moves.len() > MAX_MOVES {
         let ended = moves.iter().filter(|(_, entry)| entry.control.row().0.is_ended());
         let oldest = ended.min_by_key(|(_, entry)| entry.control.row().0.spec.deadline);
