--- a/crates/sycamore-node/src/peers/driver.rs
+++ b/crates/sycamore-node/src/peers/driver.rs
@@ -1,4 +1,4 @@
-//! Runs the membership machine: gives it its inputs and carries out its actions.
+//! Drives the membership state machine: feeds it inputs and executes its actions.
 
 use super::metrics::Metrics;
 use crate::hub::{Hub, Phase};
@@ -14,12 +14,12 @@
 use sycamore_types::prelude::*;
 use tokio::sync::mpsc;
 
-/// Datagrams that wait to be sent at most; later ones are dropped, as a network would.
+/// Capacity of the queue of outgoing datagrams; further ones are dropped, as a network would.
 const SEND_QUEUE: usize = 1_024;
-/// Stands for the version of an upstream that has not announced itself.
+/// Version in this node's member record until the upstream has announced its own.
 const NO_VERSION: &str = "unannounced";
 
-/// The machine with what it needs around it.
+/// Membership state machine with its inputs, outputs and metrics.
 pub(super) struct Driver {
     pub(super) hub: Rc<Hub>,
     pub(super) calls: Peers,
@@ -27,16 +27,18 @@
     pub(super) metrics: Metrics,
     platform: Rc<Platform>,
     machine: RefCell<Membership>,
-    changed: Cell<bool>,
+    /// Whether the view changed since it was last published.
+    view_changed: Cell<bool>,
     send: mpsc::Sender<(SocketAddr, Packet)>,
     exchanges: mpsc::Sender<(InstanceId, SocketAddr, ExchangeRequest)>,
 }
 
-/// Exchanges that wait to be started at most.
+/// Capacity of the queue of exchanges to start; further ones are dropped.
 const EXCHANGE_QUEUE: usize = 8;
 
 impl Driver {
-    /// A driver whose machine knows only this node, with the tasks that send for it.
+    /// Creates a driver that knows only this node, and spawns the tasks that send datagrams and run
+    /// exchanges.
     pub(super) fn start(
         hub: &Rc<Hub>,
         tasks: &TaskGroup,
@@ -47,7 +49,7 @@
     ) -> Rc<Self> {
         let (send, send_rx) = mpsc::channel(SEND_QUEUE);
         let (exchanges, exchanges_rx) = mpsc::channel(EXCHANGE_QUEUE);
-        let machine = RefCell::new(machine(hub));
+        let machine = RefCell::new(new_membership(hub));
         let driver = Rc::new(Self {
             hub: hub.clone(),
             calls,
@@ -55,7 +57,7 @@
             metrics,
             platform: platform.clone(),
             machine,
-            changed: Cell::new(true),
+            view_changed: Cell::new(true),
             send,
             exchanges,
         });
@@ -69,24 +71,24 @@
         driver
     }
 
-    /// Gives the machine one input and carries out what it asks for.
+    /// Feeds one input to the state machine and executes the resulting actions.
     pub(super) fn input(&self, input: Input) {
-        let teller = match &input {
+        let source = match &input {
             Input::Packet { from, .. } => Some(*from),
             _ => None,
         };
         let actions = self.machine.borrow_mut().step(self.now(), input);
-        self.act(actions, teller);
+        self.execute(actions, source);
     }
 
-    /// Answers another node's exchange.
+    /// Answers an exchange that another node started.
     pub(super) fn answer(&self, request: &ExchangeRequest) -> ExchangeReply {
         let (reply, actions) = self.machine.borrow_mut().answer(self.now(), request);
-        self.act(actions, None);
+        self.execute(actions, None);
         reply
     }
 
-    /// Announces that this node leaves; gives the datagrams that say so.
+    /// Marks this node as left; returns the datagrams that announce it to peers.
     pub(super) fn leave(&self) -> Vec<(SocketAddr, Packet)> {
         let actions = self.machine.borrow_mut().step(self.now(), Input::Local(LocalState::Left));
         let sends = actions.into_iter().filter_map(|action| match action {
@@ -96,34 +98,34 @@
         sends.collect()
     }
 
-    /// Tells the machine what its own member is to say now.
+    /// Updates this node's member record from its phase and its upstream.
     pub(super) fn update_local(&self) {
         self.input(Input::Local(local_state(&self.hub)));
     }
 
-    /// Publishes the members where they have changed.
+    /// Publishes the membership view if it changed since the last call.
     pub(super) fn publish_changes(&self) {
-        if self.changed.replace(false) {
+        if self.view_changed.replace(false) {
             self.publish();
         }
     }
 
-    /// This node's own member.
+    /// This node's own member record.
     pub(super) fn me(&self) -> Member {
         self.machine.borrow().me().clone()
     }
 
-    /// Whether this node has compared its table with another's since it started.
+    /// Whether this node has compared its membership table with a peer's since it started.
     pub(super) fn is_synced(&self) -> bool {
         self.machine.borrow().is_synced()
     }
 
-    /// Reads the machine.
-    pub(super) fn read<T>(&self, read: impl FnOnce(&Membership) -> T) -> T {
+    /// Calls `read` on the state machine.
+    pub(super) fn with_state<T>(&self, read: impl FnOnce(&Membership) -> T) -> T {
         read(&self.machine.borrow())
     }
 
-    /// The time for the machine.
+    /// Current monotonic and wall time.
     pub(super) fn now(&self) -> Now {
         Now { mono: self.hub.clock.now(), wall: self.hub.clock.wall() }
     }
@@ -135,8 +137,8 @@
         self.hub.members.send_replace(Arc::new(view));
     }
 
-    /// Carries out what followed from a message of the peer at `teller`.
-    fn act(&self, actions: Vec<Action>, teller: Option<SocketAddr>) {
+    /// Executes `actions`, which followed from a datagram of the peer at `source` if there is one.
+    fn execute(&self, actions: Vec<Action>, source: Option<SocketAddr>) {
         for action in actions {
             match action {
                 Action::Send { to, packet } => {
@@ -144,38 +146,38 @@
                         self.metrics.dropped();
                     }
                 }
-                Action::Exchange { peer, to, request } => self.exchange(peer, to, request),
+                Action::Exchange { peer, to, request } => self.queue_exchange(peer, to, request),
                 Action::MemberChanged(member) => self.member_changed(&member),
-                Action::Judged(member) => self.record(&member),
-                Action::FactLearnt(fact) => self.learn(fact, teller),
-                Action::ViewChanged => self.changed.set(true),
+                Action::Judged(member) => self.record_member(&member),
+                Action::FactLearnt(fact) => self.learn(fact, source),
+                Action::ViewChanged => self.view_changed.set(true),
             }
         }
     }
 
-    fn learn(&self, fact: Fact, teller: Option<SocketAddr>) {
-        match teller {
-            Some(teller) => self.hub.facts.learn_from(fact, teller),
+    fn learn(&self, fact: Fact, source: Option<SocketAddr>) {
+        match source {
+            Some(source) => self.hub.facts.learn_from(fact, source),
             None => self.hub.facts.learn(fact),
         };
     }
 
-    fn exchange(&self, peer: InstanceId, to: SocketAddr, request: ExchangeRequest) {
+    fn queue_exchange(&self, peer: InstanceId, to: SocketAddr, request: ExchangeRequest) {
         if self.exchanges.try_send((peer, to, request)).is_err() {
             self.metrics.dropped();
         }
     }
 
-    /// Follows up on a changed member. Only this node's own changes go to the time line here: were
-    /// each change recorded by every node, the time line would grow with the square of the fleet.
+    /// Handles a changed member. Only changes of this node's own member are recorded here: if every
+    /// node recorded every change, the timeline would grow with the square of the fleet size.
     fn member_changed(&self, member: &Member) {
-        self.changed.set(true);
+        self.view_changed.set(true);
         if member.instance == self.hub.settings.node.instance {
-            self.record(member);
+            self.record_member(member);
         }
     }
 
-    fn record(&self, member: &Member) {
+    fn record_member(&self, member: &Member) {
         self.hub.record(EventKind::MemberChanged {
             instance: member.instance.clone(),
             generation: member.incarnation,
@@ -204,12 +206,12 @@
     mut queue: mpsc::Receiver<(SocketAddr, Packet)>,
 ) {
     while let Some((to, packet)) = queue.recv().await {
-        // A datagram that can't be sent is as good as lost, which the machine expects.
+        // A failed send counts as a lost datagram, which the membership protocol tolerates.
         let _ = datagrams.send(&packet, hub.stamp(), to).await;
     }
 }
 
-fn machine(hub: &Hub) -> Membership {
+fn new_membership(hub: &Hub) -> Membership {
     let settings = &hub.settings;
     let me = Member {
         instance: settings.node.instance.clone(),
@@ -232,7 +234,7 @@
     Membership::new(me, options, rand::random(), now)
 }
 
-/// What this node's own member is to say.
+/// State of this node's member record, derived from its phase and its upstream.
 fn local_state(hub: &Hub) -> LocalState {
     let upstream = hub.upstream.borrow();
     match (hub.phase(), &*upstream) {
--- a/crates/sycamore-node/src/peers/listener.rs
+++ b/crates/sycamore-node/src/peers/listener.rs
@@ -1,4 +1,4 @@
-//! The listener for other nodes' calls.
+//! Listener for requests of other nodes.
 
 use crate::hub::Hub;
 use crate::tasks::TaskGroup;
@@ -11,10 +11,10 @@
 use sycamore_peer::{serve, Call, Counters, Inbox, Server, ServerOptions};
 use sycamore_types::prelude::*;
 
-/// Binds the peer address and serves calls until the tasks are told to stop.
+/// Binds the peer address and serves requests until `tasks` stop.
 ///
 /// # Errors
-/// The address can't be bound.
+/// [`std::io::Error`] if the address can't be bound.
 pub(super) fn start(
     hub: &Rc<Hub>,
     tasks: &TaskGroup,
@@ -28,7 +28,7 @@
     Ok(inbox)
 }
 
-/// Answers other nodes' questions for the highest configuration head seen.
+/// Spawns the task that answers other nodes' head requests.
 pub(super) fn answer_heads(
     hub: &Rc<Hub>,
     tasks: &TaskGroup,
@@ -37,13 +37,13 @@
     let hub = hub.clone();
     tasks.spawn_until_stop(async move {
         while let Some(call) = calls.next().await {
-            // The caller may have given up; then nobody takes the answer.
+            // The send fails if the caller has given up, which is harmless.
             let _ = call.tx.send(highest_head(&hub));
         }
     });
 }
 
-/// The highest configuration head that this node has seen.
+/// Highest configuration head that this node has seen; `None` if it has seen none.
 fn highest_head(hub: &Hub) -> Option<ConfigHead> {
     match hub.facts.known().get(&FactKey::Head) {
         Some(Fact::Head(head)) => Some(*head),
--- a/crates/sycamore-node/src/peers/metrics.rs
+++ b/crates/sycamore-node/src/peers/metrics.rs
@@ -14,6 +14,7 @@
     members: IntGaugeVec,
 }
 
+/// Member states that are counted, with their label values; dead members aren't in the view.
 const STATES: [(MemberState, &str); 4] = [
     (MemberState::Joining, "joining"),
     (MemberState::Serving, "serving"),
@@ -22,33 +23,33 @@
 ];
 
 impl Metrics {
-    /// Registers the metrics.
+    /// Registers the metrics with `registry`.
     pub(super) fn register(registry: &Registry) -> Result<Self> {
         let meter = Meter::new(registry);
         Ok(Self {
             bytes: meter.counters(
                 "peer_bytes_total",
-                "Control bytes between nodes",
+                "Bytes of control traffic between nodes, by direction",
                 &["direction"],
             )?,
             connections: meter.counters(
                 "peer_connections_total",
-                "Connections between nodes",
+                "Connections between nodes, by kind",
                 &["kind"],
             )?,
             refused: meter.counter(
                 "peer_messages_refused_total",
-                "Messages that were malformed, oversized or of another deployment",
+                "Received messages that were malformed, oversized or of another deployment",
             )?,
             dropped: meter.counter(
                 "peer_messages_dropped_total",
-                "Messages not sent because a queue was full",
+                "Messages dropped before sending because a queue was full",
             )?,
-            members: meter.gauges("members", "Members known by state", &["state"])?,
+            members: meter.gauges("members", "Known members, by state", &["state"])?,
         })
     }
 
-    /// Takes over the counts of the sockets.
+    /// Copies the byte, connection and refusal counts of the sockets.
     pub(super) fn traffic(&self, counters: &Counters) {
         raise_to(&self.bytes.with_label_values(&["in"]), counters.bytes_in());
         raise_to(&self.bytes.with_label_values(&["out"]), counters.bytes_out());
@@ -59,7 +60,7 @@
         raise_to(&self.refused, counters.refused());
     }
 
-    /// Counts the members in `view`.
+    /// Sets the number of members in each state from `view`.
     pub(super) fn members(&self, view: &MemberView) {
         for (state, label) in STATES {
             let count = view.members.values().filter(|member| member.state == state).count();
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Counts a message that was not sent because a queue was full.
+    /// Counts a message dropped before sending because a queue was full.
     pub(super) fn dropped(&self) {
         self.dropped.inc();
     }
--- a/crates/sycamore-node/src/peers/mod.rs
+++ b/crates/sycamore-node/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Membership and spreading.
+//! Runs fleet membership and the spreading of facts between nodes.
 
 mod driver;
 mod leave;
@@ -22,17 +22,17 @@
 use sycamore_peer::{Call, Counters, Datagrams, Evidence, Objects, PeersOptions};
 use sycamore_types::prelude::*;
 
-/// Calls for configuration objects.
+/// Receiver of peers' requests for configuration objects.
 pub type FetchCalls = mpsc::Receiver<Call<Vec<ContentHash>, Objects>>;
-/// Calls that deliver evidence.
+/// Receiver of peers' requests that deliver evidence.
 pub type EvidenceCalls = mpsc::Receiver<Call<Evidence, Bytes>>;
 
-/// Why membership could not start.
+/// Error of [`start`].
 #[derive(Debug)]
 pub enum PeersError {
     /// The peer address can't be bound.
     Bind,
-    /// A metric can't be registered.
+    /// A metric of this subsystem can't be registered.
     Metrics,
 }
 
@@ -40,14 +40,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PeersError::Bind => f.write_str("the peer address can't be bound"),
-            PeersError::Metrics => f.write_str("the metrics of peers can't be registered"),
+            PeersError::Metrics => f.write_str("the peer metrics can't be registered"),
         }
     }
 }
 
 impl std::error::Error for PeersError {}
 
-/// Membership and spreading.
+/// Handle to the running membership subsystem.
 pub struct Peers {
     calls: sycamore_peer::Peers,
     driver: Rc<Driver>,
@@ -56,31 +56,32 @@
 }
 
 impl Peers {
-    /// Calls other nodes at the `peer` address of their member's endpoints.
+    /// Client for requests to other nodes, which are addressed by the `peer` endpoint of their
+    /// member.
     pub fn calls(&self) -> &sycamore_peer::Peers {
         &self.calls
     }
 
-    /// Whether this node has compared its table with another's since it started.
+    /// Whether this node has compared its membership table with a peer's since it started.
     pub fn is_synced(&self) -> bool {
         self.driver.is_synced()
     }
 
-    /// Takes the queue of other nodes' calls for configuration objects; `None` the second time.
+    /// Takes the receiver of requests for configuration objects; `None` from the second call on.
     pub fn take_fetch(&self) -> Option<FetchCalls> {
         self.fetch.borrow_mut().take()
     }
 
-    /// Takes the queue of evidence that other nodes deliver; `None` the second time.
+    /// Takes the receiver of evidence; `None` from the second call on.
     pub fn take_evidence(&self) -> Option<EvidenceCalls> {
         self.evidence.borrow_mut().take()
     }
 }
 
-/// Starts the slice's tasks.
+/// Binds the peer address and spawns the membership subsystem's tasks on `tasks`.
 ///
 /// # Errors
-/// [`PeersError`] where the peer address can't be bound.
+/// [`PeersError`] if the peer address can't be bound or a metric can't be registered.
 pub async fn start(
     hub: &Rc<Hub>,
     tasks: &TaskGroup,
--- a/crates/sycamore-node/src/peers/tasks.rs
+++ b/crates/sycamore-node/src/peers/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks that give the machine its inputs.
+//! Tasks that feed the membership state machine.
 
 use super::driver::Driver;
 use crate::tasks::TaskGroup;
@@ -10,22 +10,23 @@
 use sycamore_member::Input;
 use sycamore_peer::{Call, Received};
 
-/// Time between two ticks of the machine.
+/// Time between two ticks of the state machine.
 const TICK: Duration = Duration::from_millis(100);
-/// Ticks between two rounds of housekeeping.
+/// Ticks between two rounds of housekeeping: closing idle connections, expiring facts and updating
+/// the traffic metrics.
 const HOUSEKEEPING_TICKS: u32 = 10;
-/// Pause after a failure of the datagram socket.
+/// Pause after an error of the datagram socket.
 const SOCKET_PAUSE: Duration = Duration::from_millis(100);
 
 type ExchangeCalls = futures::channel::mpsc::Receiver<Call<ExchangeRequest, ExchangeReply>>;
 
-/// Starts the tasks.
+/// Spawns the tasks that feed the membership state machine.
 pub(super) fn start(driver: &Rc<Driver>, tasks: &TaskGroup, exchanges: ExchangeCalls) {
     tasks.spawn_until_stop(tick(driver.clone()));
     tasks.spawn_until_stop(receive(driver.clone()));
     tasks.spawn_until_stop(answer(driver.clone(), exchanges));
     tasks.spawn_until_stop(follow_local(driver.clone()));
-    tasks.spawn_until_stop(follow_facts(driver.clone()));
+    tasks.spawn_until_stop(spread_facts(driver.clone()));
 }
 
 async fn tick(driver: Rc<Driver>) {
@@ -59,12 +60,12 @@
 async fn answer(driver: Rc<Driver>, mut calls: ExchangeCalls) {
     while let Some(call) = calls.next().await {
         let reply = driver.answer(&call.body);
-        // The caller may have given up; then nobody takes the answer.
+        // The send fails if the caller has given up, which is harmless.
         let _ = call.tx.send(reply);
     }
 }
 
-/// Follows the upstream and the node's phase.
+/// Updates this node's member record when its upstream or its phase changes.
 async fn follow_local(driver: Rc<Driver>) {
     let mut upstream = driver.hub.upstream.subscribe();
     let mut phases = driver.hub.phases();
@@ -80,8 +81,8 @@
     }
 }
 
-/// Spreads the facts that this node raises.
-async fn follow_facts(driver: Rc<Driver>) {
+/// Hands the facts raised on this node to the state machine, which spreads them.
+async fn spread_facts(driver: Rc<Driver>) {
     let mut raised = driver.hub.facts.raised();
     loop {
         for fact in driver.hub.facts.take_unsent() {
