--- a/crates/sycamore-node/src/hub/clock.rs
+++ b/crates/sycamore-node/src/hub/clock.rs
@@ -1,9 +1,9 @@
-//! Clocks of a process.
+//! Monotonic and wall clocks of the process.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use sycamore_types::time::{Time, WallTime};
 
-/// Reads the clocks; decision crates are given what it reads.
+/// Reads the monotonic and the wall clock; state machines receive the values as inputs.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -11,22 +11,22 @@
 }
 
 impl Clock {
-    /// A clock whose monotonic time starts now.
+    /// Creates a clock whose monotonic time starts now.
     pub fn start() -> Self {
         Self::ahead_by(Duration::ZERO)
     }
 
-    /// The same, with civil time `ahead` of the machine's.
+    /// Creates a clock whose wall time runs `ahead` of the system's, for tests of clock skew.
     pub fn ahead_by(ahead: Duration) -> Self {
         Self { started: Instant::now(), ahead }
     }
 
-    /// Monotonic time since the start.
+    /// Monotonic time since the clock was created, in microseconds.
     pub fn now(&self) -> Time {
         Time(u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Civil time.
+    /// Wall time since the Unix epoch, in milliseconds.
     pub fn wall(&self) -> WallTime {
         let since_epoch =
             SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() + self.ahead;
--- a/crates/sycamore-node/src/hub/dependency.rs
+++ b/crates/sycamore-node/src/hub/dependency.rs
@@ -1,4 +1,4 @@
-//! What a node depends on, and whether it has it.
+//! Tracks whether the platform and the local upstream answer.
 
 use super::Meter;
 use prometheus::{IntCounterVec, IntGaugeVec, Result};
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// What a node can't do its whole work without.
+/// External system that a node needs for full service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dependency {
-    /// The platform's table, as far as this node follows it.
+    /// The platform's table, as far as this node watches it.
     Platform,
-    /// The upstream beside the node.
+    /// The local upstream.
     Upstream,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Since when each dependency is lost.
+/// Time of loss of each lost dependency, with the metrics of losses.
 pub struct Dependencies {
     up: IntGaugeVec,
     losses: IntCounterVec,
@@ -34,12 +34,16 @@
 }
 
 impl Dependencies {
-    /// Nothing is lost; what has not been reached yet is not up either.
+    /// Registers the metrics; at first no dependency is lost and none is up.
     pub(super) fn new(meter: Meter<'_>) -> Result<Self> {
         let labels = &["dependency"];
         let dependencies = Self {
-            up: meter.gauges("dependency_up", "1 while a dependency answers", labels)?,
-            losses: meter.counters("dependency_losses_total", "Times it was lost", labels)?,
+            up: meter.gauges("dependency_up", "1 while the dependency answers, else 0", labels)?,
+            losses: meter.counters(
+                "dependency_losses_total",
+                "Times the dependency stopped answering",
+                labels,
+            )?,
             platform: Cell::default(),
             upstream: Cell::default(),
         };
@@ -49,7 +53,7 @@
         Ok(dependencies)
     }
 
-    /// Notes that `dependency` answers at `now`.
+    /// Records that `dependency` answered at `now`, and logs the end of an outage.
     pub fn reached(&self, log: &Logger, now: Time, dependency: Dependency) {
         self.up.with_label_values(&[dependency.as_str()]).set(1);
         if let Some(since) = self.lost_since(dependency).take() {
@@ -58,7 +62,8 @@
         }
     }
 
-    /// Notes that `dependency` is lost at `now`, for the reason `why`; only the first time counts.
+    /// Records that `dependency` is lost since `now`, with the reason `why` for the log. Repeated
+    /// calls in one outage have no effect.
     pub fn lost(&self, log: &Logger, now: Time, dependency: Dependency, why: &str) {
         let since = self.lost_since(dependency);
         if since.get().is_none() {
@@ -69,7 +74,7 @@
         }
     }
 
-    /// Time for which `dependency` has been lost at `now`.
+    /// Length of the outage of `dependency` at `now`; `None` while it is not lost.
     pub fn lost_for(&self, now: Time, dependency: Dependency) -> Option<Duration> {
         self.lost_since(dependency).get().map(|since| now.since(since))
     }
--- a/crates/sycamore-node/src/hub/facts.rs
+++ b/crates/sycamore-node/src/hub/facts.rs
@@ -1,4 +1,4 @@
-//! The facts that a node knows, and the queue of those to spread.
+//! Store of the facts a node knows, and the queue of those to send to peers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,13 +7,13 @@
 use sycamore_types::prelude::*;
 use tokio::sync::watch;
 
-/// Facts kept at most; where there are more, those that expire first are forgotten first.
+/// Facts kept at most; beyond it, the facts that expire first are evicted first.
 pub const MAX_FACTS: usize = 16_384;
 
-/// The facts that a node knows. Clones of the map are cheap to take and never change.
+/// Facts known to a node. Readers share immutable snapshots of the map.
 pub struct Facts {
     known: watch::Sender<Arc<BTreeMap<FactKey, Fact>>>,
-    fresh: RefCell<Vec<Fact>>,
+    unsent: RefCell<Vec<Fact>>,
     raised: watch::Sender<u64>,
     head_source: Cell<Option<(ConfigHead, SocketAddr)>>,
 }
@@ -22,7 +22,7 @@
     fn default() -> Self {
         Self {
             known: watch::Sender::new(Arc::default()),
-            fresh: RefCell::default(),
+            unsent: RefCell::default(),
             raised: watch::Sender::new(0),
             head_source: Cell::new(None),
         }
@@ -30,58 +30,59 @@
 }
 
 impl Facts {
-    /// The facts known now.
+    /// Snapshot of the facts known now.
     pub fn known(&self) -> Arc<BTreeMap<FactKey, Fact>> {
         self.known.borrow().clone()
     }
 
-    /// Follows the facts known.
+    /// Subscribes to snapshots of the known facts.
     pub fn subscribe(&self) -> watch::Receiver<Arc<BTreeMap<FactKey, Fact>>> {
         self.known.subscribe()
     }
 
-    /// Keeps `fact` and queues it to be spread. Gives whether it told something new.
+    /// Stores a `fact` raised on this node and queues it for peers. Returns whether it was new.
     pub fn insert(&self, fact: Fact) -> bool {
         let new = self.learn(fact.clone());
         if new {
-            self.fresh.borrow_mut().push(fact);
+            self.unsent.borrow_mut().push(fact);
             self.raised.send_modify(|count| *count += 1);
         }
         new
     }
 
-    /// Keeps a fact that the peer at `teller` told, as [`Facts::learn`] does.
-    pub fn learn_from(&self, fact: Fact, teller: SocketAddr) -> bool {
+    /// Stores a fact received from the peer at `source`, as [`Facts::learn`] does.
+    pub fn learn_from(&self, fact: Fact, source: SocketAddr) -> bool {
         let head = match &fact {
             Fact::Head(head) => Some(*head),
             _ => None,
         };
         let new = self.learn(fact);
         if let (true, Some(head)) = (new, head) {
-            self.head_source.set(Some((head, teller)));
+            self.head_source.set(Some((head, source)));
         }
         new
     }
 
-    /// The peer that told of `head` first; it was nearer to where the head was accepted.
+    /// Peer from which `head` was learnt first, which is closer to where it was committed. `None`
+    /// unless `head` is the latest head learnt from a peer.
     pub fn head_source(&self, head: &ConfigHead) -> Option<SocketAddr> {
-        self.head_source.get().filter(|(told, _)| told == head).map(|(_, teller)| teller)
+        self.head_source.get().filter(|(learnt, _)| learnt == head).map(|(_, source)| source)
     }
 
-    /// Keeps a fact that a peer told. Gives whether it told something new.
+    /// Stores a fact received from a peer. Returns whether it was new.
     pub fn learn(&self, fact: Fact) -> bool {
         self.known.send_if_modified(|known| {
             let replaces = known.get(&fact.key()).is_none_or(|old| fact.replaces(old));
             if replaces {
                 let known = Arc::make_mut(known);
                 known.insert(fact.key(), fact);
-                bound(known);
+                evict_excess(known);
             }
             replaces
         })
     }
 
-    /// Forgets the facts that expired by `now`.
+    /// Removes the facts whose expiry time is `now` or earlier.
     pub fn expire(&self, now: WallTime) {
         self.known.send_if_modified(|known| {
             let expired = |fact: &Fact| fact.expires().is_some_and(|at| at <= now);
@@ -93,18 +94,20 @@
         });
     }
 
-    /// Follows the number of facts raised on this node.
+    /// Subscribes to the number of facts raised on this node.
     pub fn raised(&self) -> watch::Receiver<u64> {
         self.raised.subscribe()
     }
 
-    /// Takes the facts raised on this node that are still to be spread.
+    /// Takes the facts raised on this node that were not sent to peers yet.
     pub fn take_unsent(&self) -> Vec<Fact> {
-        std::mem::take(&mut self.fresh.borrow_mut())
+        std::mem::take(&mut self.unsent.borrow_mut())
     }
 }
 
-fn bound(known: &mut BTreeMap<FactKey, Fact>) {
+/// Evicts the facts that expire first until at most [`MAX_FACTS`] are left; facts without expiry
+/// stay.
+fn evict_excess(known: &mut BTreeMap<FactKey, Fact>) {
     while known.len() > MAX_FACTS {
         let first =
             known.iter().filter_map(|(key, fact)| fact.expires().map(|at| (at, key.clone()))).min();
--- a/crates/sycamore-node/src/hub/log.rs
+++ b/crates/sycamore-node/src/hub/log.rs
@@ -1,7 +1,7 @@
-//! The log: one line of key=value pairs for each event, on standard output.
+//! Structured log of the node on standard output: one line of key=value pairs per record.
 //!
-//! A thread of its own writes the lines, so that a reader that stops reading stops nothing else: the
-//! queue before it is bounded, and lines that find it full are dropped and counted in a line.
+//! A separate thread writes the lines, so a stalled reader never blocks the node. The queue to that
+//! thread is bounded; lines that find it full are dropped, and their number is logged later.
 
 use super::Clock;
 use prometheus::IntCounter;
@@ -13,8 +13,8 @@
 use sycamore_settings::operator::LogLevel;
 use sycamore_settings::Settings;
 
-/// A logger that names the instance on each line and writes to `out`, and the count of lines that
-/// found its queue full.
+/// Creates a logger that writes to `out` and adds the instance and the wall time to each line, and
+/// the counter of lines dropped because its queue was full.
 pub fn logger(settings: &Settings, out: impl Write + Send + 'static) -> (Logger, IntCounter) {
     let level = match settings.log.level {
         LogLevel::Error => Level::Error,
@@ -26,35 +26,36 @@
     let queue = usize::try_from(settings.log.queue).unwrap_or(usize::MAX);
     let core = AsyncCore::custom(lines).chan_size(queue).blocking(false).build();
     let name = "sycamoreshift_log_dropped_total";
-    let dropped = IntCounter::new(name, "Lines that found the queue of the log full");
+    let dropped = IntCounter::new(name, "Log lines dropped because the log's queue was full");
     let dropped = dropped.expect("the name is well formed");
-    let queued = Queue { core, untold: AtomicU64::default(), dropped: dropped.clone() };
+    let queued = Queue { core, unreported: AtomicU64::default(), dropped: dropped.clone() };
     let drain = LevelFilter::new(queued, level).fuse();
     let instance = settings.node.instance.to_string();
     let time = FnValue(|_| Clock::start().wall().0);
     (Logger::root(drain, o!("instance" => instance, "time_ms" => time)), dropped)
 }
 
-/// The bounded queue of lines. Lines that find it full are counted, and told of with the next line
-/// that finds room.
+/// Bounded queue of log lines. Lines that find it full are dropped and counted; the count is logged
+/// before the next line that finds room.
 struct Queue {
     core: AsyncCore,
-    untold: AtomicU64,
+    unreported: AtomicU64,
     dropped: IntCounter,
 }
 
 impl Queue {
-    fn tell(&self, values: &OwnedKVList) {
-        let untold = self.untold.swap(0, Ordering::Relaxed);
-        if untold == 0 {
+    /// Logs the number of dropped lines that was not reported yet, if there is room in the queue.
+    fn report_dropped(&self, values: &OwnedKVList) {
+        let unreported = self.unreported.swap(0, Ordering::Relaxed);
+        if unreported == 0 {
             return;
         }
-        let line = slog::b!("lines" => untold);
-        let told = self
+        let line = slog::b!("lines" => unreported);
+        let sent = self
             .core
             .log(&record!(Level::Warning, "", &format_args!("log lines dropped"), line), values);
-        if told.is_err() {
-            self.untold.fetch_add(untold, Ordering::Relaxed);
+        if sent.is_err() {
+            self.unreported.fetch_add(unreported, Ordering::Relaxed);
         }
     }
 }
@@ -64,9 +65,9 @@
     type Err = Never;
 
     fn log(&self, line: &Record<'_>, values: &OwnedKVList) -> Result<(), Never> {
-        self.tell(values);
+        self.report_dropped(values);
         if self.core.log(line, values).is_err() {
-            self.untold.fetch_add(1, Ordering::Relaxed);
+            self.unreported.fetch_add(1, Ordering::Relaxed);
             self.dropped.inc();
         }
         Ok(())
--- a/crates/sycamore-node/src/hub/meter.rs
+++ b/crates/sycamore-node/src/hub/meter.rs
@@ -1,4 +1,4 @@
-//! Making and registering metrics, all under one prefix.
+//! Creates and registers Prometheus metrics under the node's common prefix.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -6,63 +6,63 @@
     IntGaugeVec, Opts, Registry, Result,
 };
 
-/// Prefix of every metric's name.
+/// Prefix of every metric name.
 const PREFIX: &str = "sycamoreshift";
 
-/// Upper bounds of the buckets of times, in seconds: from a call on loopback to the longest that
-/// callers wait.
-const SECONDS: [f64; 14] =
+/// Upper bounds of the buckets of latency histograms, in seconds: from a call on loopback to the
+/// longest time that callers wait.
+const LATENCY_BUCKETS_S: [f64; 14] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0];
 
-/// Makes metrics and registers them.
+/// Creates metrics and registers them with a registry.
 #[derive(Debug, Clone, Copy)]
 pub struct Meter<'a>(&'a Registry);
 
 impl<'a> Meter<'a> {
-    /// A meter that registers with `registry`.
+    /// Creates a meter that registers metrics with `registry`.
     pub fn new(registry: &'a Registry) -> Self {
         Self(registry)
     }
 
-    /// A count that only grows.
+    /// Creates a counter.
     ///
     /// # Errors
-    /// Where the name is taken or malformed, as for all others.
+    /// [`prometheus::Error`] if `name` is taken or malformed; the same holds for all metrics below.
     pub fn counter(&self, name: &str, help: &str) -> Result<IntCounter> {
         self.register(IntCounter::with_opts(opts(name, help))?)
     }
 
-    /// Counts that only grow, by `labels`.
+    /// Creates a counter for each combination of `labels`.
     pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> Result<IntCounterVec> {
         self.register(IntCounterVec::new(opts(name, help), labels)?)
     }
 
-    /// A whole number that goes up and down.
+    /// Creates an integer gauge.
     pub fn gauge(&self, name: &str, help: &str) -> Result<IntGauge> {
         self.register(IntGauge::with_opts(opts(name, help))?)
     }
 
-    /// Whole numbers that go up and down, by `labels`.
+    /// Creates an integer gauge for each combination of `labels`.
     pub fn gauges(&self, name: &str, help: &str, labels: &[&str]) -> Result<IntGaugeVec> {
         self.register(IntGaugeVec::new(opts(name, help), labels)?)
     }
 
-    /// A number with a fraction that goes up and down.
+    /// Creates a floating-point gauge.
     pub fn level(&self, name: &str, help: &str) -> Result<Gauge> {
         self.register(Gauge::with_opts(opts(name, help))?)
     }
 
-    /// Numbers with a fraction that go up and down, by `labels`.
+    /// Creates a floating-point gauge for each combination of `labels`.
     pub fn levels(&self, name: &str, help: &str, labels: &[&str]) -> Result<GaugeVec> {
         self.register(GaugeVec::new(opts(name, help), labels)?)
     }
 
-    /// How times are spread, in seconds.
+    /// Creates a histogram of durations, in seconds.
     pub fn times(&self, name: &str, help: &str) -> Result<Histogram> {
         self.register(Histogram::with_opts(times(name, help))?)
     }
 
-    /// How times are spread by `labels`, in seconds.
+    /// Creates a histogram of durations, in seconds, for each combination of `labels`.
     pub fn times_by(&self, name: &str, help: &str, labels: &[&str]) -> Result<HistogramVec> {
         self.register(HistogramVec::new(times(name, help), labels)?)
     }
@@ -78,10 +78,10 @@
 }
 
 fn times(name: &str, help: &str) -> HistogramOpts {
-    HistogramOpts::from(opts(name, help)).buckets(SECONDS.into())
+    HistogramOpts::from(opts(name, help)).buckets(LATENCY_BUCKETS_S.into())
 }
 
-/// Raises `counter` to `total`, counted elsewhere.
+/// Raises `counter` to `total`, a count kept elsewhere; a lower total changes nothing.
 pub fn raise_to(counter: &IntCounter, total: u64) {
     counter.inc_by(total.saturating_sub(counter.get()));
 }
--- a/crates/sycamore-node/src/hub/mod.rs
+++ b/crates/sycamore-node/src/hub/mod.rs
@@ -1,4 +1,4 @@
-//! What the slices of a node share.
+//! State shared by the subsystems of a node.
 
 mod clock;
 mod dependency;
@@ -24,69 +24,71 @@
 use sycamore_types::prelude::*;
 use tokio::sync::{mpsc, watch, Notify};
 
-/// Outcomes of calls that may wait for the moves slice; later ones are dropped and counted.
+/// Capacity of the queue of call outcomes to the moves subsystem; outcomes that find it full are
+/// dropped and counted.
 const OUTCOME_QUEUE: usize = 16_384;
 
-/// What the node is doing.
+/// Lifecycle phase of the node; phases only advance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It has no current configuration yet and serves nothing.
+    /// The node has no configuration yet and serves no calls.
     Starting,
-    /// It serves.
+    /// The node serves calls.
     Ready,
-    /// It was told to stop: it says that it is not ready, and serves while callers move on. Its
-    /// upstream may live on and gets calls for as long.
+    /// The node was told to stop: it reports that it is not ready, and still serves calls while
+    /// callers switch to other nodes. The upstream may keep running, and receives calls while it
+    /// does.
     Draining,
-    /// It lets calls in flight end and takes no new ones.
+    /// The node accepts no new calls and waits for those in flight.
     Closing,
-    /// Its tasks end.
+    /// The node's tasks end.
     Stopped,
 }
 
-/// The upstream beside the node, as it announced itself.
+/// Local upstream as described by its latest announcement.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AnnouncedUpstream {
-    /// Its own name of its process, where it has one.
+    /// Name the upstream gives its process; `None` if it gives none.
     pub name: Option<String>,
-    /// Its version.
+    /// Version of the upstream's software.
     pub version: UpstreamVersion,
-    /// Where it takes calls.
+    /// Address at which the upstream accepts calls.
     pub address: SocketAddr,
-    /// Calls that it runs at once.
+    /// Calls the upstream runs concurrently.
     pub slots: u16,
-    /// Connections that it takes.
+    /// Connections the upstream accepts.
     pub connections: u16,
-    /// When it is warm.
+    /// Time at which the upstream's cold start ends.
     pub warm_at: Time,
-    /// It asked to leave.
+    /// Whether the upstream asked to leave.
     pub draining: bool,
 }
 
-/// What the slices of a node share. Everything is on one thread.
+/// State shared by the subsystems of a node, all of which run on one thread.
 pub struct Hub {
-    /// The settings.
+    /// Settings the node was started with.
     pub settings: Settings,
-    /// The generation of this process.
+    /// Incarnation of this process: the wall time of its start, in milliseconds.
     pub incarnation: Incarnation,
-    /// Monotonic and civil time.
+    /// Monotonic and wall clock.
     pub clock: Clock,
-    /// One line of key=value pairs for each event.
+    /// Structured log.
     pub log: Logger,
-    /// Every metric.
+    /// Registry of all metrics of the node.
     pub registry: Registry,
-    /// The configuration in force; version 0 until there is one.
+    /// Configuration in force; version 0 until the first one is applied.
     pub snapshot: watch::Sender<Arc<Snapshot>>,
-    /// The members known.
+    /// Known members of the fleet.
     pub members: watch::Sender<Arc<MemberView>>,
-    /// The shares of versions.
+    /// Traffic shares of the versions of each service.
     pub shares: watch::Sender<Arc<ShareTable>>,
-    /// The upstream beside the node, while it announces itself.
+    /// Local upstream; `None` while it does not announce itself.
     pub upstream: watch::Sender<Option<AnnouncedUpstream>>,
-    /// The orders of operators in force, by the key of their row, with its revision.
+    /// Release orders of operators by row key, each with the revision of its row.
     pub orders: watch::Sender<Arc<BTreeMap<String, (ReleaseOrder, u64)>>>,
-    /// Facts that spread.
+    /// Facts that spread between nodes.
     pub facts: Facts,
-    /// What the node depends on, and whether it has it.
+    /// Availability of the platform and of the local upstream.
     pub dependencies: Dependencies,
     phase: watch::Sender<Phase>,
     timeline: RefCell<Recorder>,
@@ -98,12 +100,12 @@
 }
 
 impl Hub {
-    /// A hub for a node with `settings`, that nothing has filled yet.
+    /// Creates a hub for a node with `settings`, in phase [`Phase::Starting`].
     pub fn new(settings: Settings) -> Rc<Self> {
         Self::with_clock(settings, Clock::start())
     }
 
-    /// The same with `clock`.
+    /// Creates a hub for a node with `settings` that reads `clock`, in phase [`Phase::Starting`].
     pub fn with_clock(settings: Settings, clock: Clock) -> Rc<Self> {
         let (outcomes, outcomes_rx) = mpsc::channel(OUTCOME_QUEUE);
         let incarnation = Incarnation(clock.wall().0);
@@ -137,17 +139,17 @@
         })
     }
 
-    /// What the node is doing.
+    /// Current lifecycle phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Follows what the node is doing.
+    /// Subscribes to the lifecycle phase.
     pub fn phases(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Moves on to `phase`; a phase never goes back.
+    /// Advances to `phase`; an earlier phase than the current one is ignored.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.send_if_modified(|current| {
             let forward = (phase as u8) > (*current as u8);
@@ -158,7 +160,7 @@
         });
     }
 
-    /// Puts a configuration into force: the node is ready from the first one on.
+    /// Puts the configuration `snapshot` into force; the first one makes the node ready.
     pub fn publish_snapshot(&self, snapshot: Snapshot) {
         let config = snapshot.version;
         self.snapshot.send_replace(Arc::new(snapshot));
@@ -169,29 +171,31 @@
         }
     }
 
-    /// Records an event on the time line and logs it.
+    /// Records an event on the timeline and logs it.
     pub fn record(&self, kind: EventKind) {
         let body = serde_json::to_string(&kind).unwrap_or_default();
         info!(self.log, "{}", kind.name(); "event" => body);
         self.timeline.borrow_mut().record(kind, self.clock.wall());
     }
 
-    /// The stamp that a message sent now carries.
+    /// Advances the hybrid logical clock and returns the stamp of a message sent now.
     pub fn stamp(&self) -> Stamp {
         self.timeline.borrow_mut().stamp(self.clock.wall())
     }
 
-    /// Takes note of a stamp that a message carried, so that what follows is ordered after it.
+    /// Advances the hybrid logical clock past a received `stamp`, so that later events are ordered
+    /// after the message.
     pub fn observe(&self, stamp: Stamp) {
         self.timeline.borrow_mut().observe(stamp, self.clock.wall());
     }
 
-    /// The time line of this process.
+    /// Timeline of this process.
     pub fn timeline(&self) -> &RefCell<Recorder> {
         &self.timeline
     }
 
-    /// Raises `fact`: it is kept, recorded where it is new, and spread.
+    /// Raises `fact` on this node: stores it and, if it is new, queues it for peers and records it
+    /// on the timeline. Configuration heads and rows of moves are queued but not recorded.
     pub fn raise(&self, fact: Fact) {
         if self.facts.insert(fact.clone()) && !matches!(fact, Fact::Head(_) | Fact::MoveRow { .. })
         {
@@ -199,35 +203,36 @@
         }
     }
 
-    /// Hands the outcome of a call to the moves slice.
+    /// Queues the outcome of a call for the moves subsystem; drops and counts it if the queue is
+    /// full.
     pub fn report_outcome(&self, outcome: CallOutcome) {
         if self.outcomes.try_send(outcome).is_err() {
             self.outcomes_lost.set(self.outcomes_lost.get() + 1);
         }
     }
 
-    /// Takes the queue of outcomes; `None` the second time.
+    /// Takes the receiver of call outcomes; `None` from the second call on.
     pub fn take_outcomes(&self) -> Option<mpsc::Receiver<CallOutcome>> {
         self.outcomes_rx.borrow_mut().take()
     }
 
-    /// Outcomes dropped since the start because the queue was full.
+    /// Call outcomes dropped since the start because the queue was full.
     pub fn outcomes_lost(&self) -> u64 {
         self.outcomes_lost.get()
     }
 
-    /// Counts a call as in flight on this node until the guard is dropped.
+    /// Counts a call as in flight until the returned guard is dropped.
     pub fn call_in_flight(self: &Rc<Self>) -> InFlight {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlight(self.clone())
     }
 
-    /// Calls in flight on this node.
+    /// Number of calls in flight on this node.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Waits until no call is in flight.
+    /// Waits until no call is in flight on this node.
     pub async fn idle(&self) {
         loop {
             let done = self.in_flight_done.notified();
@@ -239,7 +244,7 @@
     }
 }
 
-/// A call in flight; dropped when the call has ended.
+/// Guard that counts one call as in flight until it is dropped.
 pub struct InFlight(Rc<Hub>);
 
 impl Drop for InFlight {
--- a/crates/sycamore-node/tests/hub.rs
+++ b/crates/sycamore-node/tests/hub.rs
@@ -1,4 +1,4 @@
-//! What the slices share: phases, calls in flight and facts.
+//! Tests of the hub: lifecycle phases, calls in flight, facts, stamps and dependencies.
 
 use std::time::Duration;
 use sycamore_node::hub::{Dependency, Hub, Phase};
@@ -10,15 +10,17 @@
 }
 
 #[test]
-fn a_phase_never_goes_back() {
+fn an_earlier_phase_is_ignored() {
     let hub = Hub::new(Settings::default());
     hub.set_phase(Phase::Draining);
     hub.set_phase(Phase::Ready);
     assert_eq!(hub.phase(), Phase::Draining);
 }
 
+/// The first configuration makes a node ready. One that arrives while the node drains must not
+/// return it to service.
 #[test]
-fn a_configuration_that_arrives_in_a_drain_does_not_end_it() {
+fn a_first_configuration_during_a_drain_does_not_make_the_node_ready() {
     let hub = Hub::new(Settings::default());
     hub.set_phase(Phase::Draining);
     hub.publish_snapshot(Snapshot { version: ConfigVersion(1), ..Default::default() });
@@ -35,8 +37,9 @@
     assert_eq!(hub.in_flight(), 0);
 }
 
+/// Peers may spread an older head late; it must not replace a newer one.
 #[test]
-fn a_lower_head_is_not_learnt() {
+fn an_older_or_equal_head_does_not_replace_the_known_one() {
     let hub = Hub::new(Settings::default());
     assert!(hub.facts.learn(head(2)));
     assert!(!hub.facts.learn(head(1)));
@@ -44,8 +47,10 @@
     assert_eq!(hub.facts.known()[&FactKey::Head], head(2));
 }
 
+/// Nodes fetch a configuration from the peer from which they learnt its head first. Later peers,
+/// and heads raised on this node, must not replace that source.
 #[test]
-fn the_first_peer_to_tell_of_a_head_is_remembered() {
+fn the_source_of_a_head_is_the_first_peer_it_was_learnt_from() {
     let hub = Hub::new(Settings::default());
     let [first, second] = [7403, 7404].map(|port| ([127, 0, 0, 1], port).into());
     let (Fact::Head(old), Fact::Head(new)) = (head(1), head(2)) else { unreachable!() };
@@ -58,8 +63,10 @@
     assert_eq!(hub.facts.head_source(&new), Some(first));
 }
 
+/// The membership state machine spreads the facts it learnt from peers by itself. Only facts raised
+/// on this node must be handed to it, each once.
 #[test]
-fn only_facts_raised_here_wait_to_be_spread() {
+fn only_new_facts_raised_on_this_node_are_queued_for_peers() {
     let hub = Hub::new(Settings::default());
     hub.facts.learn(head(1));
     hub.raise(head(2));
@@ -69,7 +76,7 @@
 }
 
 #[test]
-fn expired_facts_are_forgotten_and_verdicts_are_kept() {
+fn facts_are_removed_at_their_expiry_and_verdicts_stay() {
     let hub = Hub::new(Settings::default());
     let verdict = Fact::BadVersion {
         service: ServiceName::new("counter").expect("valid"),
@@ -87,10 +94,11 @@
     assert_eq!(hub.facts.known().values().collect::<Vec<_>>(), [&verdict]);
 }
 
+/// Nodes' clocks differ; without the sender's stamp an effect could be ordered before its cause.
 #[test]
-fn an_event_after_a_message_is_stamped_after_its_sender() {
+fn an_event_after_a_received_message_is_stamped_later_than_the_message() {
     let hub = Hub::new(Settings::default());
-    // The sender's clock is five seconds ahead.
+    // The sender's clock is 5 s ahead.
     let sent = Stamp { wall: WallTime(hub.clock.wall().0 + 5_000), logical: 2 };
     hub.observe(sent);
     hub.record(EventKind::Draining);
@@ -99,16 +107,19 @@
     assert!(hub.stamp() > events[0].at);
 }
 
+/// A node with a broken clock sends stamps far in the future, which must not push the stamps of all
+/// other nodes there.
 #[test]
-fn a_broken_clock_does_not_drag_others_along() {
+fn a_stamp_far_in_the_future_advances_own_stamps_by_less_than_a_minute() {
     let hub = Hub::new(Settings::default());
     hub.observe(Stamp { wall: WallTime(u64::MAX), logical: u32::MAX });
     let ahead = hub.stamp().wall.since(hub.clock.wall());
     assert!(ahead < std::time::Duration::from_secs(60), "{ahead:?}");
 }
 
+/// The outage must be measured from the first failure: a retry that fails must not restart it.
 #[test]
-fn a_dependency_is_lost_once_and_told_how_long_it_was_away() {
+fn an_outage_lasts_from_the_first_loss_to_the_next_answer() {
     let hub = Hub::new(Settings::default());
     let (log, at) = (&hub.log, |s: u64| Time(s * 1_000_000));
     let up = |hub: &Hub| {
--- a/crates/sycamore-node/tests/log.rs
+++ b/crates/sycamore-node/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log never blocks: a reader that stops, and a flood.
+//! Tests that the log never blocks the node while its reader is stalled.
 
 use slog::info;
 use std::io::Write;
@@ -9,21 +9,23 @@
 use sycamore_settings::operator::Log;
 use sycamore_settings::Settings;
 
-const QUEUE: u32 = 64;
-const FLOOD: u32 = 20_000;
+/// Capacity of the log's queue, in lines.
+const QUEUE_LINES: u32 = 64;
+/// Lines logged while the reader is stalled.
+const FLOOD_LINES: u32 = 20_000;
 
 fn settings() -> Settings {
-    Settings { log: Log { queue: QUEUE, ..Log::default() }, ..Settings::default() }
+    Settings { log: Log { queue: QUEUE_LINES, ..Log::default() }, ..Settings::default() }
 }
 
-/// A reader that takes nothing until it is released.
-struct Stopped {
+/// Output that blocks on its first write until it is released, and then collects all lines.
+struct StalledOutput {
     release: Receiver<()>,
     released: bool,
     lines: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stopped {
+impl Write for StalledOutput {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         if !self.released {
             self.released = self.release.recv().is_ok();
@@ -37,25 +39,27 @@
     }
 }
 
-fn stopped() -> (Stopped, Sender<()>, Arc<Mutex<Vec<u8>>>) {
+fn stalled_output() -> (StalledOutput, Sender<()>, Arc<Mutex<Vec<u8>>>) {
     let (tx, release) = channel();
     let lines = Arc::<Mutex<Vec<u8>>>::default();
-    (Stopped { release, released: false, lines: lines.clone() }, tx, lines)
+    (StalledOutput { release, released: false, lines: lines.clone() }, tx, lines)
 }
 
+/// A reader of the node's output that stalls must not block logging. Lines beyond the queue's
+/// capacity are dropped; their number must appear in the log and in the counter.
 #[test]
-fn a_flood_before_a_reader_that_stopped_returns_at_once_and_tells_what_was_dropped() {
-    let (out, release, lines) = stopped();
+fn logging_to_a_stalled_reader_returns_and_reports_the_dropped_lines() {
+    let (out, release, lines) = stalled_output();
     let (log, dropped) = logger(&settings(), out);
     let begun = Instant::now();
-    for number in 0..FLOOD {
+    for number in 0..FLOOD_LINES {
         info!(log, "flood"; "number" => number);
     }
-    // Without a bound the first line would wait for the reader for ever.
+    // A log that waited for its reader would block here forever.
     assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
     release.send(()).expect("the reader waits");
-    // The count of dropped lines comes with the first line that finds room again.
-    let whole = format!("number={}", QUEUE - 1);
+    // The count of dropped lines is logged before the first line that finds room again.
+    let whole = format!("number={}", QUEUE_LINES - 1);
     while !String::from_utf8_lossy(&lines.lock().expect("no panic")).contains(&whole) {
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -64,9 +68,10 @@
     let text = String::from_utf8(lines.lock().expect("no writer panicked").clone());
     let text = text.expect("lines are text");
     let kept = text.lines().filter(|line| line.contains("flood")).count();
-    assert!(kept <= 2 * QUEUE as usize, "{kept} lines were kept");
-    let told = text.lines().filter_map(|line| line.split_once("log lines dropped"));
-    let told = told.filter_map(|(_, fields)| fields.rsplit_once("lines=")?.1.parse::<u64>().ok());
-    assert_eq!(told.sum::<u64>(), dropped.get(), "not every dropped line is told of: {text}");
-    assert_eq!(kept as u64 + dropped.get(), u64::from(FLOOD));
+    assert!(kept <= 2 * QUEUE_LINES as usize, "{kept} lines were kept");
+    let reports = text.lines().filter_map(|line| line.split_once("log lines dropped"));
+    let counts =
+        reports.filter_map(|(_, fields)| fields.rsplit_once("lines=")?.1.parse::<u64>().ok());
+    assert_eq!(counts.sum::<u64>(), dropped.get(), "not every dropped line is reported: {text}");
+    assert_eq!(kept as u64 + dropped.get(), u64::from(FLOOD_LINES));
 }
