--- a/crates/sycamore-node/src/operator/access.rs
+++ b/crates/sycamore-node/src/operator/access.rs
@@ -1,14 +1,14 @@
-//! Who may command and ask.
+//! Authorization of operators' commands and queries.
 
 use super::OperatorError;
 use http::{header, HeaderMap};
 use sycamore_settings::operator::Operator;
 
-/// Checks that the bearer of `headers` may give commands.
+/// Checks that a request with `headers` may run commands.
 ///
 /// # Errors
-/// [`OperatorError::Unauthorized`] unless the right token is given.
-pub fn may_command(settings: &Operator, headers: &HeaderMap) -> Result<(), OperatorError> {
+/// [`OperatorError::Unauthorized`] unless the headers hold the operators' bearer token.
+pub fn authorize_command(settings: &Operator, headers: &HeaderMap) -> Result<(), OperatorError> {
     let token = headers
         .get(header::AUTHORIZATION)
         .and_then(|value| value.as_bytes().strip_prefix(b"Bearer "))
@@ -19,13 +19,13 @@
     }
 }
 
-/// Checks that the bearer of `headers` may ask.
+/// Checks that a request with `headers` may run queries.
 ///
 /// # Errors
-/// [`OperatorError::Unauthorized`] where queries are not open and the token is not right.
-pub fn may_ask(settings: &Operator, headers: &HeaderMap) -> Result<(), OperatorError> {
+/// [`OperatorError::Unauthorized`] if queries need a token and the headers don't hold it.
+pub fn authorize_query(settings: &Operator, headers: &HeaderMap) -> Result<(), OperatorError> {
     match settings.open_queries {
         true => Ok(()),
-        false => may_command(settings, headers),
+        false => authorize_command(settings, headers),
     }
 }
--- a/crates/sycamore-node/src/operator/answer.rs
+++ b/crates/sycamore-node/src/operator/answer.rs
@@ -1,14 +1,14 @@
-//! Answers of the operators' listener.
+//! HTTP responses of the operators' listener.
 
 use super::OperatorError;
 use bytes::Bytes;
 use http::{header, Response, StatusCode};
 use http_body_util::Full;
 
-/// An answer on the wire.
+/// HTTP response with a complete body.
 pub type Answer = Response<Full<Bytes>>;
 
-/// An answer of `content_type`.
+/// Creates a response with `status`, `content_type` and `body`.
 pub fn answer(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Answer {
     let mut answer = Response::new(Full::new(body.into()));
     *answer.status_mut() = status;
@@ -17,7 +17,7 @@
     answer
 }
 
-/// The answer to a command or query.
+/// Creates the JSON response to a command or query with `result`.
 pub fn json(result: Result<serde_json::Value, OperatorError>) -> Answer {
     const JSON: &str = "application/json";
     match result {
--- a/crates/sycamore-node/src/operator/commands.rs
+++ b/crates/sycamore-node/src/operator/commands.rs
@@ -1,4 +1,4 @@
-//! Commands: what changes something.
+//! Dispatch of operators' commands, the requests that change state.
 
 use super::OperatorError;
 use crate::run::Node;
@@ -7,7 +7,7 @@
 /// Runs the command `name` with `body`.
 ///
 /// # Errors
-/// [`OperatorError`], as the command says.
+/// [`OperatorError`] if the command is unknown or fails.
 pub async fn run(node: &Node, name: &str, body: &[u8]) -> Result<Value, OperatorError> {
     match name {
         "config-apply" => node.config.apply(body).await,
--- a/crates/sycamore-node/src/operator/error.rs
+++ b/crates/sycamore-node/src/operator/error.rs
@@ -1,35 +1,35 @@
-//! Errors that operators are told.
+//! Errors of operators' commands and queries, with their HTTP form.
 
 use http::StatusCode;
 use serde::Serialize;
 use std::fmt;
 
-/// Why a command or query failed.
+/// Error of an operator's command or query.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorError {
-    /// The input is wrong: every fault found.
+    /// The input is invalid.
     BadInput {
-        /// What was wrong in all.
+        /// Summary of the faults.
         error: String,
-        /// Each fault, with its place.
+        /// Each fault with its place in the input.
         faults: Vec<String>,
     },
-    /// The token is missing or wrong.
+    /// The operators' token is missing or wrong.
     Unauthorized,
-    /// There is no such command, query, plan or move.
+    /// The named command, query, path, plan or move, or a configuration, was not found.
     NotFound(String),
-    /// Somebody else changed the same thing first; says who won.
+    /// Another change to the same object was committed first.
     Conflict {
-        /// What happened.
+        /// Description of the conflict.
         error: String,
-        /// The operator who won.
+        /// Author of the change that was committed first.
         winner: String,
     },
-    /// The platform can't be reached, or it can't be known yet whether the command took effect.
+    /// The platform is unavailable, so that the request failed or its effect is unknown.
     Unavailable(String),
 }
 
-/// An error's body on the wire.
+/// JSON body of an error response.
 #[derive(Serialize)]
 struct Body<'a> {
     error: String,
@@ -40,12 +40,12 @@
 }
 
 impl OperatorError {
-    /// An input with one fault.
+    /// Creates a [`OperatorError::BadInput`] without a list of faults.
     pub fn bad_input(error: impl fmt::Display) -> Self {
         Self::BadInput { error: error.to_string(), faults: Vec::new() }
     }
 
-    /// The status that the error is answered with.
+    /// HTTP status of the error response.
     pub fn status(&self) -> StatusCode {
         match self {
             OperatorError::BadInput { .. } => StatusCode::BAD_REQUEST,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The body that the error is answered with, as JSON.
+    /// JSON body of the error response.
     pub fn body(&self) -> Vec<u8> {
         let (faults, winner) = match self {
             OperatorError::BadInput { faults, .. } => (faults.as_slice(), None),
@@ -73,8 +73,8 @@
             OperatorError::BadInput { error, .. } | OperatorError::Conflict { error, .. } => {
                 f.write_str(error)
             }
-            OperatorError::Unauthorized => f.write_str("a valid operator token is needed"),
-            OperatorError::NotFound(what) => write!(f, "{what} is not known"),
+            OperatorError::Unauthorized => f.write_str("a valid operator token is required"),
+            OperatorError::NotFound(what) => write!(f, "{what} not found"),
             OperatorError::Unavailable(why) => f.write_str(why),
         }
     }
--- a/crates/sycamore-node/src/operator/mod.rs
+++ b/crates/sycamore-node/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: commands, queries, metrics, liveness and readiness.
+//! HTTP interface for operators: commands, queries, metrics, liveness and readiness.
 
 mod access;
 mod answer;
--- a/crates/sycamore-node/src/operator/queries.rs
+++ b/crates/sycamore-node/src/operator/queries.rs
@@ -1,4 +1,4 @@
-//! Queries: what only tells.
+//! Dispatch of operators' queries, the requests that change nothing.
 
 use super::OperatorError;
 use crate::run::Node;
@@ -8,13 +8,13 @@
 use std::collections::HashMap;
 use sycamore_types::prelude::*;
 
-/// Arguments of a query, as its address gives them.
+/// Arguments of a query, from the query string of its URL.
 pub type Arguments = HashMap<String, String>;
 
-/// Answers the query `name`.
+/// Answers the query `name` with the arguments `args`.
 ///
 /// # Errors
-/// [`OperatorError`], as the query says.
+/// [`OperatorError`] if the query is unknown or fails.
 pub async fn run(node: &Node, name: &str, args: &Arguments) -> Result<Value, OperatorError> {
     match name {
         "config" => node.config.query().await,
@@ -27,7 +27,7 @@
     }
 }
 
-/// What a node says of itself and its members.
+/// Answer to the query `nodes`: the state of this node and the members it knows.
 #[derive(Serialize)]
 struct Nodes<'a> {
     instance: &'a InstanceId,
@@ -53,9 +53,9 @@
 async fn timeline(node: &Node, args: &Arguments) -> Result<Value, OperatorError> {
     let after = match args.get("after") {
         None => 0,
-        Some(text) => text
-            .parse()
-            .map_err(|_| OperatorError::bad_input(format!("after={text} is no event number")))?,
+        Some(text) => text.parse().map_err(|_| {
+            OperatorError::bad_input(format!("after={text} is not an event number"))
+        })?,
     };
     let mut events = match args.get("archive").map(String::as_str) {
         Some("true") => {
--- a/crates/sycamore-node/src/operator/readiness.rs
+++ b/crates/sycamore-node/src/operator/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers whether the node is ready, at an address of its own.
+//! Readiness endpoint on a listener of its own.
 
 use crate::hub::{Hub, Phase};
 use crate::tasks::TaskGroup;
@@ -11,13 +11,13 @@
 use std::time::Duration;
 use sycamore_http::conn::{serve, ServeConfig};
 
-/// Pause after a failed accept, such as for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Pause after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Opens the listener at `addr` and answers at `path` until `tasks` stop.
+/// Listens at `addr` and answers readiness requests for `path` until `tasks` stop.
 ///
 /// # Errors
-/// Where the address can't be listened at.
+/// [`std::io::Error`] if `addr` can't be bound.
 pub fn start(
     hub: &Rc<Hub>,
     tasks: &TaskGroup,
@@ -44,14 +44,14 @@
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            monoio::time::sleep(ACCEPT_PAUSE).await;
+            monoio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
         let hub = hub.clone();
         let mut stop = connections.stop_signal();
         connections.spawn(async move {
             let handler = |req: Request<Bytes>| std::future::ready(answer(&hub, &req, path));
-            // A questioner that breaks off asks again.
+            // A client whose connection fails repeats its request.
             let _ = serve(stream, &ServeConfig::default(), stop.wait(), handler).await;
         });
     }
--- a/crates/sycamore-node/src/operator/serve.rs
+++ b/crates/sycamore-node/src/operator/serve.rs
@@ -1,4 +1,4 @@
-//! Connections of operators: HTTP/1.1 by hyper over monoio.
+//! HTTP/1.1 server for operators, with hyper on monoio.
 
 use super::answer::{answer, json, Answer};
 use super::queries::Arguments;
@@ -24,31 +24,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest command accepted, in bytes.
+/// Largest accepted body of a command, in bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
-/// Largest request head accepted, in bytes.
+/// Largest accepted request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Connections served at once.
+/// Connections served concurrently; further ones are closed.
 const MAX_CONNECTIONS: usize = 64;
-/// Time that a connection may take in all.
-const CONNECTION_TIME: Duration = Duration::from_secs(60);
+/// Lifetime of a connection, after which it is closed.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Pause after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The operators' listener could not be opened at an address.
+/// Error of [`start`]: the address can't be bound.
 #[derive(Debug)]
 pub struct ListenError(SocketAddr);
 
 impl fmt::Display for ListenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "can't listen for operators at {}", self.0)
+        write!(f, "the operators' listener can't bind {}", self.0)
     }
 }
 
 impl std::error::Error for ListenError {}
 
-/// Opens the listener and serves it until `tasks` stop.
+/// Binds the operators' address and serves requests until `tasks` stop.
 ///
 /// # Errors
-/// [`ListenError`] where the address can't be listened at.
+/// [`ListenError`] if the address can't be bound.
 pub async fn start(node: Rc<Node>, tasks: &TaskGroup) -> Result<(), Report<ListenError>> {
     let addr = node.hub.settings.listen.operator;
     let listener = TcpListener::bind(addr).change_context(ListenError(addr))?;
@@ -68,19 +70,20 @@
             Ok((stream, _)) if connections.live() < MAX_CONNECTIONS => {
                 let node = node.clone();
                 connections.spawn_until_stop(async move {
-                    let _ = monoio::time::timeout(CONNECTION_TIME, connection(stream, node)).await;
+                    let served = serve_connection(stream, node);
+                    let _ = monoio::time::timeout(CONNECTION_TIMEOUT, served).await;
                 });
             }
             Ok(_) => warn!(node.hub.log, "operator connection refused"; "limit" => MAX_CONNECTIONS),
             Err(error) => {
-                warn!(node.hub.log, "operator connection failed"; "error" => %error);
-                monoio::time::sleep(Duration::from_millis(100)).await;
+                warn!(node.hub.log, "operator connection not accepted"; "error" => %error);
+                monoio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-async fn connection(stream: TcpStream, node: Rc<Node>) {
+async fn serve_connection(stream: TcpStream, node: Rc<Node>) {
     let _ = stream.set_nodelay(true);
     let Ok(stream) = stream.into_poll_io() else {
         return;
@@ -94,7 +97,7 @@
         .serve_connection(MonoioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        slog::debug!(node.hub.log, "operator connection ended"; "error" => %error);
+        slog::debug!(node.hub.log, "operator connection failed"; "error" => %error);
     }
 }
 
@@ -139,8 +142,8 @@
     name: &str,
     req: &Request<Incoming>,
 ) -> Result<serde_json::Value, OperatorError> {
-    access::may_ask(&node.hub.settings.operator, req.headers())?;
-    queries::run(node, name, &arguments(req.uri().query().unwrap_or_default())).await
+    access::authorize_query(&node.hub.settings.operator, req.headers())?;
+    queries::run(node, name, &parse_arguments(req.uri().query().unwrap_or_default())).await
 }
 
 async fn command(
@@ -148,22 +151,22 @@
     name: &str,
     req: Request<Incoming>,
 ) -> Result<serde_json::Value, OperatorError> {
-    access::may_command(&node.hub.settings.operator, req.headers())?;
-    let body = body(req.into_body()).await?;
+    access::authorize_command(&node.hub.settings.operator, req.headers())?;
+    let body = read_body(req.into_body()).await?;
     commands::run(node, name, &body).await
 }
 
-async fn body(body: Incoming) -> Result<Bytes, OperatorError> {
+async fn read_body(body: Incoming) -> Result<Bytes, OperatorError> {
     match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) => Err(OperatorError::bad_input(format!(
-            "the body could not be read ({error}); at most {MAX_BODY_BYTES} bytes are accepted"
+            "the request body can't be read: {error}; at most {MAX_BODY_BYTES} bytes are accepted"
         ))),
     }
 }
 
-/// Splits `query`; identifiers hold no character that needs an escape.
-fn arguments(query: &str) -> Arguments {
+/// Splits a query string without unescaping: identifiers hold no character that needs an escape.
+fn parse_arguments(query: &str) -> Arguments {
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
