--- a/crates/sycamore-node/src/platform/mod.rs
+++ b/crates/sycamore-node/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The node's clients of the platform's table and object store.
+//! Client of the platform's table and object store, with its metrics.
 
 use crate::hub::Meter;
 use http::StatusCode;
@@ -9,17 +9,17 @@
 use sycamore_platform::{HttpPlatform, HttpSettings, StoreProtocol};
 use sycamore_settings::platform::Platform as Settings;
 
-/// Clients of the platform, shared by the slices.
+/// Platform client shared by the subsystems of the node.
 pub struct Platform {
     http: HttpPlatform,
 }
 
 impl Platform {
-    /// Clients with `settings` that speak `protocol`; nothing is connected yet.
-    /// Requests are counted in `registry`.
+    /// Creates a client with `settings` that speaks `protocol` and registers its request metrics
+    /// with `registry`. No connection is opened yet.
     ///
     /// # Errors
-    /// Where the registry has metrics of these names.
+    /// [`prometheus::Error`] if the registry already has metrics of these names.
     pub fn new(
         settings: &Settings,
         protocol: Rc<dyn StoreProtocol>,
@@ -35,30 +35,32 @@
         Ok(Self { http: HttpPlatform::with_protocol(http, protocol).observed_by(observer) })
     }
 
-    /// The client of the table and of the object store.
+    /// HTTP client of the table and the object store.
     pub fn http(&self) -> &HttpPlatform {
         &self.http
     }
 }
 
-/// Counts each request by its kind and result, and times it.
+/// Creates an observer that counts each request by kind and result, and measures its duration.
 fn observer(registry: &Registry) -> prometheus::Result<Observer> {
     let meter = Meter::new(registry);
     let labels = &["kind", "result"];
-    let results = meter.counters("platform_results_total", "Requests to the platform", labels)?;
-    let seconds = meter.times_by("platform_seconds", "Time of a request there", &["kind"])?;
+    let help = "Requests to the platform, by kind and result";
+    let results = meter.counters("platform_results_total", help, labels)?;
+    let help = "Duration of requests to the platform, in seconds";
+    let seconds = meter.times_by("platform_seconds", help, &["kind"])?;
     Ok(Rc::new(move |ended: Ended| {
         let kind = match ended.kind {
             RequestKind::Read => "read",
             RequestKind::Write => "write",
             RequestKind::Watch => "watch",
         };
-        results.with_label_values(&[kind, result(ended.status)]).inc();
+        results.with_label_values(&[kind, result_label(ended.status)]).inc();
         seconds.with_label_values(&[kind]).observe(ended.took.as_secs_f64());
     }))
 }
 
-fn result(status: Option<StatusCode>) -> &'static str {
+fn result_label(status: Option<StatusCode>) -> &'static str {
     match status {
         None => "no-answer",
         Some(status) if status.is_success() => "ok",
