--- a/crates/sycamore-node/src/tasks/mod.rs
+++ b/crates/sycamore-node/src/tasks/mod.rs
@@ -1,11 +1,11 @@
-//! Groups of tasks that their parent joins.
+//! Task groups: structured concurrency in which a parent stops and joins its tasks.
 
 use std::cell::Cell;
 use std::future::Future;
 use std::rc::Rc;
 use tokio::sync::{watch, Notify};
 
-/// Tasks with one parent, which stops and joins them.
+/// Group of tasks that their parent stops and joins.
 pub struct TaskGroup {
     live: Rc<Live>,
     stop: watch::Sender<bool>,
@@ -23,14 +23,14 @@
     }
 }
 
-/// Tells a task to end.
+/// Stop signal of a [`TaskGroup`].
 #[derive(Clone)]
 pub struct Stop(watch::Receiver<bool>);
 
 impl Stop {
     /// Waits until the group is told to stop.
     pub async fn wait(&mut self) {
-        // An error means that the group is gone, which stops its tasks as well.
+        // An error means that the group was dropped, which also stops its tasks.
         let _ = self.0.wait_for(|stop| *stop).await;
     }
 
@@ -39,7 +39,7 @@
         *self.0.borrow()
     }
 
-    /// Runs `future`, or gives `None` where the group is told to stop first.
+    /// Runs `future` to its end; `None` if the group is told to stop first.
     pub async fn or<T>(&mut self, future: impl Future<Output = T>) -> Option<T> {
         futures::pin_mut!(future);
         let stopped = self.wait();
@@ -51,7 +51,7 @@
     }
 }
 
-/// Counts a task as ended when it is dropped.
+/// Guard that counts a task as live until it is dropped.
 struct Guard(Rc<Live>);
 
 impl Drop for Guard {
@@ -64,7 +64,7 @@
 }
 
 impl TaskGroup {
-    /// Runs `task` on the loop; [`TaskGroup::join`] waits for it.
+    /// Spawns `task` on the event loop; [`TaskGroup::join`] waits for it.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.live.count.set(self.live.count.get() + 1);
         let guard = Guard(self.live.clone());
@@ -74,7 +74,7 @@
         });
     }
 
-    /// Runs `task` until it ends or the group stops, whichever is first.
+    /// Spawns `task`, which runs until it ends or the group is told to stop, whichever is first.
     pub fn spawn_until_stop(&self, task: impl Future<Output = ()> + 'static) {
         let mut stop = self.stop_signal();
         self.spawn(async move {
@@ -87,17 +87,17 @@
         self.live.count.get()
     }
 
-    /// The signal that [`TaskGroup::stop`] gives.
+    /// Creates a receiver of the signal that [`TaskGroup::stop`] sends.
     pub fn stop_signal(&self) -> Stop {
         Stop(self.stop.subscribe())
     }
 
-    /// Tells every task to end.
+    /// Tells every task of the group to end, also those spawned later.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
 
-    /// Waits until every task has ended.
+    /// Waits until every task of the group has ended.
     pub async fn join(&self) {
         loop {
             let idle = self.live.idle.notified();
--- a/crates/sycamore-node/tests/tasks.rs
+++ b/crates/sycamore-node/tests/tasks.rs
@@ -1,4 +1,4 @@
-//! A parent joins all that it spawned.
+//! Tests that a task group stops and joins every task spawned on it.
 
 use monoio::{LegacyDriver, RuntimeBuilder};
 use std::cell::Cell;
@@ -7,15 +7,16 @@
 use std::rc::Rc;
 use sycamore_node::tasks::TaskGroup;
 
-fn on_loop(test: impl Future<Output = ()>) {
+/// Runs `test` on an event loop.
+fn block_on(test: impl Future<Output = ()>) {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().expect("a loop");
     runtime.block_on(test);
 }
 
-/// Sets a flag when it is dropped.
-struct Flag(Rc<Cell<bool>>);
+/// Guard that sets its flag when it is dropped.
+struct SetOnDrop(Rc<Cell<bool>>);
 
-impl Drop for Flag {
+impl Drop for SetOnDrop {
     fn drop(&mut self) {
         self.0.set(true);
     }
@@ -23,7 +24,7 @@
 
 #[test]
 fn join_waits_for_every_task() {
-    on_loop(async {
+    block_on(async {
         let tasks = TaskGroup::default();
         let ended = Rc::new(Cell::new(0));
         for millis in [1, 20, 5] {
@@ -39,11 +40,11 @@
 }
 
 #[test]
-fn stop_ends_a_task_that_never_would() {
-    on_loop(async {
+fn stop_drops_a_task_that_never_ends_by_itself() {
+    block_on(async {
         let tasks = TaskGroup::default();
         let dropped = Rc::new(Cell::new(false));
-        let flag = Flag(dropped.clone());
+        let flag = SetOnDrop(dropped.clone());
         tasks.spawn_until_stop(async move {
             let _flag = flag;
             std::future::pending::<()>().await;
@@ -54,9 +55,11 @@
     });
 }
 
+/// A subsystem may spawn a task while its group is being stopped; join must not wait for it
+/// forever.
 #[test]
-fn a_task_spawned_after_stop_ends_as_well() {
-    on_loop(async {
+fn a_task_spawned_after_stop_ends() {
+    block_on(async {
         let tasks = TaskGroup::default();
         tasks.stop();
         tasks.spawn_until_stop(std::future::pending());
@@ -65,11 +68,11 @@
 }
 
 #[test]
-fn joining_no_task_returns() {
-    on_loop(async { TaskGroup::default().join().await });
+fn join_returns_at_once_on_an_empty_group() {
+    block_on(async { TaskGroup::default().join().await });
 }
 
-/// The sources under `folder` that hold `text`.
+/// Source files under `folder` that contain `text`.
 fn sources_with(folder: &Path, text: &str) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir(folder).expect("a folder") {
@@ -83,8 +86,9 @@
     found
 }
 
+/// A task spawned outside of a group is neither stopped nor joined at shutdown.
 #[test]
-fn only_groups_spawn() {
+fn tasks_are_spawned_through_task_groups_only() {
     let sources = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     for call in ["monoio::spawn", "thread::spawn", "tokio::spawn"] {
         let found = sources_with(&sources, call);
