--- a/crates/sycamore-node/src/timeline/archive.rs
+++ b/crates/sycamore-node/src/timeline/archive.rs
@@ -1,4 +1,4 @@
-//! Events of processes that may be gone, from the object store.
+//! Reads archived events from the object store, also those of processes that have ended.
 
 use crate::operator::OperatorError;
 use crate::platform::Platform;
@@ -6,26 +6,28 @@
 use sycamore_timeline::merge;
 use sycamore_types::prelude::*;
 
-const PREFIX: &str = "events/";
-/// Batches read for one query at most.
+/// Key prefix of batches of events.
+const EVENTS_PREFIX: &str = "events/";
+/// Batches read for one query at most; the latest are preferred.
 const MAX_BATCHES: usize = 256;
 
-/// The events in the object store, of `instance` only where one is given, in one order. Of more than
-/// the allowed number of batches the last of each process come first.
+/// Reads the archived events, of `instance` only if it is given, merged into one order. If there
+/// are more than [`MAX_BATCHES`] batches, those with the latest generation and number are read.
 ///
 /// # Errors
-/// [`OperatorError::Unavailable`] where the object store is out.
+/// [`OperatorError::Unavailable`] if the object store does not answer.
 pub async fn read_archive(
     platform: &Platform,
     instance: Option<&InstanceId>,
 ) -> Result<Vec<Event>, OperatorError> {
-    let prefix = instance.map_or_else(|| PREFIX.to_owned(), |name| format!("{PREFIX}{name}/"));
+    let prefix =
+        instance.map_or_else(|| EVENTS_PREFIX.to_owned(), |name| format!("{EVENTS_PREFIX}{name}/"));
     let mut keys = platform.http().keys(&prefix).await.map_err(unavailable)?;
-    keys.sort_by(|a, b| recency(b).cmp(recency(a)));
+    keys.sort_by(|a, b| age_key(b).cmp(age_key(a)));
     let mut events = Vec::new();
     for key in keys.iter().take(MAX_BATCHES) {
         let Some(body) = platform.http().fetch(key).await.map_err(unavailable)? else { continue };
-        // A batch that can't be read leaves a gap in its process' numbers, which shows.
+        // A malformed batch leaves a visible gap in the event numbers of its process.
         if let Ok(batch) = serde_json::from_slice::<Vec<Event>>(&body) {
             events.extend(batch);
         }
@@ -33,11 +35,16 @@
     Ok(merge(events))
 }
 
-/// The part of a key after its instance: generation and first number.
-fn recency(key: &str) -> &str {
-    key.strip_prefix(PREFIX).and_then(|rest| rest.split_once('/')).map_or("", |(_, rest)| rest)
+/// Part of a batch's key that sorts by age: generation and number of the first event.
+fn age_key(key: &str) -> &str {
+    key.strip_prefix(EVENTS_PREFIX)
+        .and_then(|rest| rest.split_once('/'))
+        .map_or("", |(_, rest)| rest)
 }
 
 fn unavailable(report: error_stack::Report<sycamore_platform::Error>) -> OperatorError {
-    OperatorError::Unavailable(format!("the object store is out: {}", report.current_context()))
+    OperatorError::Unavailable(format!(
+        "the object store is unavailable: {}",
+        report.current_context()
+    ))
 }
--- a/crates/sycamore-node/src/timeline/mod.rs
+++ b/crates/sycamore-node/src/timeline/mod.rs
@@ -1,4 +1,4 @@
-//! The time line of this process, and its way to the object store.
+//! Records the timeline of this process and archives it in the object store.
 
 mod archive;
 mod recorder;
@@ -17,17 +17,17 @@
 use sycamore_platform::Objects;
 use sycamore_timeline::Batch;
 
-/// Time between two looks at whether a batch is due.
-const LOOK: Duration = Duration::from_millis(500);
-/// Batches that a process which stops may write still.
-const MAX_LAST_BATCHES: usize = 8;
-/// Time that the last batches may take.
-const LAST_TIME: Duration = Duration::from_secs(2);
+/// Time between two checks of whether a batch is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Batches written at shutdown at most.
+const MAX_FINAL_BATCHES: usize = 8;
+/// Timeout for writing the batches at shutdown, together.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Starts the tasks that keep events in the object store.
+/// Spawns the task that archives events in the object store, if the settings ask for it.
 ///
 /// # Errors
-/// None so far.
+/// None at present.
 pub async fn start(
     hub: &Rc<Hub>,
     tasks: &TaskGroup,
@@ -40,34 +40,35 @@
     let mut stop = tasks.stop_signal();
     tasks.spawn(async move {
         stop.or(write_batches(&hub, &platform)).await;
-        let _ = monoio::time::timeout(LAST_TIME, write_last(&hub, &platform)).await;
+        let _ = monoio::time::timeout(FINAL_WRITE_TIMEOUT, write_remaining(&hub, &platform)).await;
     });
     Ok(())
 }
 
 async fn write_batches(hub: &Hub, platform: &Platform) {
     loop {
-        monoio::time::sleep(LOOK).await;
+        monoio::time::sleep(CHECK_INTERVAL).await;
         let nodes = hub.members.borrow().members.len();
         let due = hub.timeline().borrow_mut().due(hub.clock.now(), nodes);
         if let Some(batch) = due {
-            write(hub, platform, &batch).await;
+            write_batch(hub, platform, &batch).await;
         }
     }
 }
 
-async fn write_last(hub: &Hub, platform: &Platform) {
-    for _ in 0..MAX_LAST_BATCHES {
-        let last = hub.timeline().borrow_mut().flush();
-        let Some(batch) = last else { return };
-        if !write(hub, platform, &batch).await {
+async fn write_remaining(hub: &Hub, platform: &Platform) {
+    for _ in 0..MAX_FINAL_BATCHES {
+        let next = hub.timeline().borrow_mut().flush();
+        let Some(batch) = next else { return };
+        if !write_batch(hub, platform, &batch).await {
             return;
         }
     }
 }
 
-/// Writes a batch; one that is there already was written by an earlier try whose answer was lost.
-async fn write(hub: &Hub, platform: &Platform, batch: &Batch) -> bool {
+/// Writes a batch to the object store and returns whether it is stored. A batch that exists counts
+/// as stored: an earlier attempt wrote it and its answer was lost.
+async fn write_batch(hub: &Hub, platform: &Platform, batch: &Batch) -> bool {
     let Ok(body) = serde_json::to_vec(&batch.events) else { return false };
     match platform.http().put(&batch.key, Bytes::from(body)).await {
         Ok(_) => {
@@ -75,7 +76,7 @@
             true
         }
         Err(report) => {
-            debug!(hub.log, "events wait"; "error" => %report.current_context());
+            debug!(hub.log, "events could not be archived"; "error" => %report.current_context());
             false
         }
     }
--- a/crates/sycamore-node/src/timeline/recorder.rs
+++ b/crates/sycamore-node/src/timeline/recorder.rs
@@ -1,24 +1,24 @@
-//! The events of this process: the latest in memory, and those that wait for the object store.
+//! Recorder of this process's events.
 
 use sycamore_settings::Settings;
 use sycamore_timeline::{Batch, BatchOptions, Batcher, Ring, Source};
 use sycamore_types::prelude::*;
 
-/// Stamps events, keeps the latest and batches them.
+/// Stamps events, keeps the latest in memory and batches all for the object store.
 pub struct Recorder {
     ring: Ring,
     batcher: Batcher,
 }
 
 impl Recorder {
-    /// A recorder that has seen nothing.
+    /// Creates an empty recorder for the process with `incarnation`.
     pub fn new(settings: &Settings, incarnation: Incarnation) -> Self {
         let source = Source { instance: settings.node.instance.clone(), incarnation };
         let options = BatchOptions {
             fleet_writes_per_s: settings.platform.fleet_writes_per_s,
             ..BatchOptions::default()
         };
-        // The conversion loses nothing on the machines that the node runs on.
+        // `usize` has at least 32 bits on all supported targets.
         let capacity = settings.moves.events as usize;
         Self {
             ring: Ring::new(source.clone(), capacity),
@@ -26,38 +26,40 @@
         }
     }
 
-    /// Records what happened at civil time `now`.
+    /// Records an event that happened at wall time `now`.
     pub fn record(&mut self, kind: EventKind, now: WallTime) {
         let event = self.ring.record(kind, now);
         self.batcher.push(event);
     }
 
-    /// The stamp that a message sent at civil time `now` carries.
+    /// Advances the hybrid logical clock and returns the stamp of a message sent at wall time
+    /// `now`.
     pub fn stamp(&mut self, now: WallTime) -> Stamp {
         self.ring.stamp(now)
     }
 
-    /// Takes note of a stamp that a message carried, so that what follows is ordered after it.
+    /// Advances the hybrid logical clock past a received `stamp`, so that later events are ordered
+    /// after the message.
     pub fn observe(&mut self, stamp: Stamp, now: WallTime) {
         self.ring.observe(stamp, now);
     }
 
-    /// The events kept whose number is above `after`.
+    /// Events in memory whose number is above `after`.
     pub fn after(&self, after: u64) -> Vec<Event> {
         self.ring.after(after).events
     }
 
-    /// The batch to write at `now` in a fleet of `nodes`, if one is due.
+    /// Batch to write at `now` in a fleet of `nodes`; `None` if none is due.
     pub fn due(&mut self, now: Time, nodes: usize) -> Option<Batch> {
         self.batcher.due(now, nodes)
     }
 
-    /// The batch under `key` is in the object store.
+    /// Records that the batch with `key` is in the object store.
     pub fn stored(&mut self, key: &str) {
         self.batcher.stored(key);
     }
 
-    /// The next batch of a process that stops.
+    /// Batch to write next at shutdown; `None` if all events are stored.
     pub fn flush(&mut self) -> Option<Batch> {
         self.batcher.flush()
     }
