--- a/crates/sycamore-node/src/lib.rs
+++ b/crates/sycamore-node/src/lib.rs
@@ -1,7 +1,8 @@
-//! The node daemon: sockets, clocks and tasks around the decision crates.
+//! Node daemon: sockets, clocks and tasks around the state machines of the other crates.
 //!
-//! One loop on one thread runs every task. [`hub::Hub`] holds what the slices share; each slice
-//! ([`peers`], [`config`], [`moves`], [`calls`], [`operator`]) starts its own tasks and joins them.
+//! One event loop on one thread runs every task. [`hub::Hub`] holds the state that the subsystems
+//! ([`peers`], [`config`], [`moves`], [`calls`], [`operator`]) share; each spawns its own tasks on
+//! a task group, which its parent joins.
 
 pub mod calls;
 pub mod config;
--- a/crates/sycamore-node/src/main.rs
+++ b/crates/sycamore-node/src/main.rs
@@ -1,4 +1,4 @@
-//! The node daemon's program.
+//! Command line of the node daemon `sycamoreshiftd`.
 
 use bpaf::{construct, long, OptionParser, Parser};
 use std::path::PathBuf;
@@ -8,9 +8,10 @@
 use sycamore_node::hub::Clock;
 use sycamore_node::run;
 
-/// Exit code for settings that can't be used.
+/// Exit code for invalid settings.
 const EXIT_BAD_INPUT: u8 = 2;
 
+/// Command-line options.
 struct Options {
     settings: PathBuf,
     clock_ahead: Duration,
@@ -22,15 +23,13 @@
         .help("INI file with the node's settings; see sycamoreshiftd.sample.ini")
         .argument::<PathBuf>("FILE");
     let clock_ahead = long("clock-ahead")
-        .help(
-            "Civil time runs ahead by so many milliseconds: for tests of nodes whose clocks differ",
-        )
+        .help("Milliseconds by which the wall clock runs ahead, for tests with clocks that differ")
         .argument::<u64>("MS")
         .fallback(0)
         .map(Duration::from_millis);
     construct!(Options { settings, clock_ahead })
         .to_options()
-        .descr("The sycamoreshift node: runs beside one upstream, admits its calls and relays others'.")
+        .descr("The sycamoreshift node: admits calls to one local upstream and relays other calls.")
         .footer("Example: sycamoreshiftd --settings counter-1.ini")
         .version(env!("CARGO_PKG_VERSION"))
 }
--- a/crates/sycamore-node/src/run.rs
+++ b/crates/sycamore-node/src/run.rs
@@ -1,4 +1,4 @@
-//! The daemon's life: start every slice, wait for a signal, drain, join.
+//! Lifecycle of the daemon: starts the subsystems, waits for a signal, drains and joins all tasks.
 
 use crate::edge::Edges;
 use crate::hub::{Clock, Hub, Phase};
@@ -23,22 +23,22 @@
 use sycamore_settings::Settings;
 use sycamore_types::event::EventKind;
 
-/// The daemon could not start.
+/// Error of [`run`]: the daemon could not start.
 #[derive(Debug)]
 pub enum RunError {
-    /// The event loop could not be built.
+    /// The event loop could not be created.
     Runtime,
-    /// Signals could not be caught.
+    /// The signal handlers could not be installed.
     Signals,
-    /// A slice could not start; holds its name.
+    /// The named subsystem could not start.
     Subsystem(&'static str),
 }
 
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RunError::Runtime => f.write_str("the event loop could not be built"),
-            RunError::Signals => f.write_str("signals could not be caught"),
+            RunError::Runtime => f.write_str("the event loop could not be created"),
+            RunError::Signals => f.write_str("the signal handlers could not be installed"),
             RunError::Subsystem(name) => write!(f, "the {name} could not be started"),
         }
     }
@@ -46,36 +46,36 @@
 
 impl std::error::Error for RunError {}
 
-/// Every slice of a running node.
+/// Handles to the subsystems of a running node.
 pub struct Node {
-    /// What the slices share.
+    /// State shared by the subsystems.
     pub hub: Rc<Hub>,
-    /// The platform's table and object store.
+    /// Client of the platform's table and object store.
     pub platform: Rc<Platform>,
-    /// Membership and spreading.
+    /// Membership subsystem.
     pub peers: Rc<peers::Peers>,
-    /// Finding and applying configurations.
+    /// Configuration subsystem.
     pub config: Rc<config::Config>,
-    /// Release moves.
+    /// Moves subsystem.
     pub moves: Rc<moves::Moves>,
-    /// Calls.
+    /// Calls subsystem.
     pub calls: Rc<calls::Calls>,
 }
 
-/// Settings, and the file to read them from again when the process is told to.
+/// Settings of a node, their file and the clock to run with.
 pub struct Source {
-    /// The settings.
+    /// Settings to start with.
     pub settings: Settings,
-    /// Their file.
+    /// File to read the settings from again at SIGHUP; `None` if they came from no file.
     pub path: Option<PathBuf>,
-    /// Its clocks.
+    /// Monotonic and wall clock.
     pub clock: Clock,
 }
 
-/// Runs a node that speaks through `edges` until it is told to stop.
+/// Runs a node that uses the protocols of `edges` until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// [`RunError`] where the node can't start.
+/// [`RunError`] if the node can't start.
 pub fn run(source: Source, edges: Edges) -> Result<(), Report<RunError>> {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new()
         .enable_timer()
@@ -85,7 +85,7 @@
 }
 
 async fn serve(source: Source, edges: Edges) -> Result<(), Report<RunError>> {
-    let mut signals = Signals::catch()?;
+    let mut signals = Signals::install()?;
     let hub = Hub::with_clock(source.settings, source.clock);
     let tasks = TaskGroup::default();
     hub.record(EventKind::Started);
@@ -99,11 +99,11 @@
     operator::start(Rc::new(node), &listener)
         .await
         .change_context(RunError::Subsystem("operators' listener"))?;
-    info!(hub.log, "node listens"; "caller" => %hub.settings.listen.caller);
+    info!(hub.log, "node started"; "caller" => %hub.settings.listen.caller);
     while signals.next().await == Signal::Reload {
         reload(&hub, source.path.as_deref());
     }
-    info!(hub.log, "node stops"; "in_flight" => hub.in_flight());
+    info!(hub.log, "node stopping"; "in_flight" => hub.in_flight());
     drain(&hub, &calls, &tasks).await;
     listener.stop();
     listener.join().await;
@@ -118,33 +118,33 @@
     edges: &Edges,
 ) -> Result<Node, Report<RunError>> {
     let platform = Platform::new(&hub.settings.platform, edges.store.clone(), &hub.registry)
-        .change_context(RunError::Subsystem("platform"))?;
+        .change_context(RunError::Subsystem("platform client"))?;
     let platform = Rc::new(platform);
     let peers = peers::start(hub, tasks, &platform)
         .await
         .change_context(RunError::Subsystem("peer listener"))?;
     let config = config::start(hub, tasks, &platform, &peers, edges.operators.clone())
         .await
-        .change_context(RunError::Subsystem("configuration"))?;
+        .change_context(RunError::Subsystem("configuration subsystem"))?;
     let moves = moves::start(hub, tasks, &platform, &peers, edges.operators.clone())
         .await
-        .change_context(RunError::Subsystem("moves"))?;
+        .change_context(RunError::Subsystem("moves subsystem"))?;
     timeline::start(hub, tasks, &platform)
         .await
-        .change_context(RunError::Subsystem("time line"))?;
+        .change_context(RunError::Subsystem("timeline archive"))?;
     let calls = calls::start(hub, calls, edges)
         .await
         .change_context(RunError::Subsystem("callers' listener"))?;
     Ok(Node { hub: hub.clone(), platform, peers, config, moves, calls })
 }
 
-/// Time that other nodes are given to hear that this one takes no more calls for its upstream.
+/// Time for other nodes to learn that this one accepts no more calls for its upstream.
 const CLOSING_SPREAD: Duration = Duration::from_millis(200);
-/// Longest time that the slices besides calls may take to end.
-const END_TIME: Duration = Duration::from_millis(400);
+/// Timeout for the tasks of all subsystems other than calls to end.
+const JOIN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Announces the drain, takes calls for a while still, lets those in flight end, then stops and joins
-/// every task.
+/// Drains the node: announces it while calls are still accepted, waits for the calls in flight,
+/// then stops and joins every task.
 async fn drain(hub: &Rc<Hub>, calls: &TaskGroup, tasks: &TaskGroup) {
     hub.set_phase(Phase::Draining);
     hub.record(EventKind::Draining);
@@ -153,25 +153,25 @@
     monoio::time::sleep(CLOSING_SPREAD).await;
     calls.stop();
     if monoio::time::timeout(hub.settings.calls.drain_timeout, calls.join()).await.is_err() {
-        warn!(hub.log, "calls cut"; "in_flight" => hub.in_flight());
+        warn!(hub.log, "drain timed out, calls aborted"; "in_flight" => hub.in_flight());
     }
     hub.record(EventKind::Stopped);
     hub.set_phase(Phase::Stopped);
     tasks.stop();
-    if monoio::time::timeout(END_TIME, tasks.join()).await.is_err() {
-        warn!(hub.log, "tasks cut"; "tasks" => tasks.live());
+    if monoio::time::timeout(JOIN_TIMEOUT, tasks.join()).await.is_err() {
+        warn!(hub.log, "shutdown timed out, tasks aborted"; "tasks" => tasks.live());
     }
 }
 
-/// What a signal asks for.
+/// Request that a POSIX signal makes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Signal {
     Stop,
     Reload,
 }
 
-/// The signals that the process catches: SIGTERM and SIGINT stop it, SIGHUP has it read its settings
-/// again.
+/// Handlers of the signals SIGTERM and SIGINT, which stop the process, and SIGHUP, which makes it
+/// read its settings again.
 struct Signals {
     wakes: UnixStream,
     stop: Arc<AtomicBool>,
@@ -179,11 +179,11 @@
 }
 
 impl Signals {
-    fn catch() -> Result<Self, Report<RunError>> {
+    fn install() -> Result<Self, Report<RunError>> {
         let (rx, tx) = std::os::unix::net::UnixStream::pair().change_context(RunError::Signals)?;
         let (stop, reload) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
         for (signal, flag) in [(SIGTERM, &stop), (SIGINT, &stop), (SIGHUP, &reload)] {
-            // Actions run in the order of their registration: the flag is up before the wake-up.
+            // Actions run in the order of registration, so the flag is set before the wake-up.
             flag::register(signal, flag.clone()).change_context(RunError::Signals)?;
             let tx = tx.try_clone().change_context(RunError::Signals)?;
             pipe::register(signal, tx).change_context(RunError::Signals)?;
@@ -206,18 +206,20 @@
     }
 }
 
-/// Reads the settings again and tells what a restart would change. Settings that can't be used
-/// change nothing.
+/// Reads the settings again and logs whether a restart would change them. The running node keeps
+/// its settings; invalid ones are only logged.
 fn reload(hub: &Hub, path: Option<&Path>) {
     let Some(path) = path else {
-        return warn!(hub.log, "settings not read again"; "why" => "they came from no file");
+        return warn!(hub.log, "settings not reloaded"; "why" => "no settings file was given");
     };
     match sycamore_settings::from_file(path) {
-        Ok(settings) if settings == hub.settings => info!(hub.log, "settings read again: the same"),
-        Ok(_) => info!(hub.log, "settings read again: changes take effect at the next start"),
+        Ok(settings) if settings == hub.settings => {
+            info!(hub.log, "settings file unchanged");
+        }
+        Ok(_) => info!(hub.log, "settings file changed: changes take effect at the next start"),
         Err(report) => {
             let faults = report.current_context().to_string();
-            warn!(hub.log, "settings not read again"; "why" => faults);
+            warn!(hub.log, "settings not reloaded"; "why" => faults);
         }
     }
 }
--- a/crates/sycamore-node/tests/program.rs
+++ b/crates/sycamore-node/tests/program.rs
@@ -1,8 +1,9 @@
-//! The daemon's program: settings that can't be used start nothing.
+//! Tests that the daemon exits with code 2 on invalid settings instead of starting.
 
 use std::process::Command;
 
-fn run(name: &str, text: &str) -> (Option<i32>, String) {
+/// Runs the daemon on a settings file `name` with `text`; returns its exit code and standard error.
+fn run_daemon(name: &str, text: &str) -> (Option<i32>, String) {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("a file is written");
     let output = Command::new(env!("CARGO_BIN_EXE_sycamoreshiftd"))
@@ -14,16 +15,17 @@
 }
 
 #[test]
-fn faulty_settings_exit_with_2_and_name_each_fault() {
-    let (code, told) = run("faulty.ini", "[node]\ninstance = a b\n[peers]\nsuspicion = soon\n");
-    assert_eq!(code, Some(2), "{told}");
+fn invalid_settings_exit_with_2_and_report_every_fault() {
+    let (code, stderr) =
+        run_daemon("faulty.ini", "[node]\ninstance = a b\n[peers]\nsuspicion = soon\n");
+    assert_eq!(code, Some(2), "{stderr}");
     for place in ["[node] instance", "[node] service: must be given", "[peers] suspicion"] {
-        assert!(told.contains(place), "{place} is missing in {told}");
+        assert!(stderr.contains(place), "{place} is missing in {stderr}");
     }
 }
 
 #[test]
-fn missing_settings_exit_with_2() {
+fn a_missing_settings_file_exits_with_2() {
     let output = Command::new(env!("CARGO_BIN_EXE_sycamoreshiftd"))
         .args(["--settings", "no-such-file.ini"])
         .output()
