--- a/crates/sycamore-node/src/moves/act.rs
+++ b/crates/sycamore-node/src/moves/act.rs
@@ -15,7 +15,7 @@
 const MEMBER_PREFIX: &str = "member/";
 /// Members' rows read per page.
 const PAGE_ROWS: usize = 500;
-/// Failed requests after which one attempt to write a row ends.
+/// Failed requests after which an attempt to write a row ends; a later attempt may follow.
 const MAX_WRITE_FAILURES: u32 = 3;
 
 /// Ticks the state machine of every move and executes the resulting actions.
--- a/crates/sycamore-node/src/moves/evidence.rs
+++ b/crates/sycamore-node/src/moves/evidence.rs
@@ -53,8 +53,9 @@
     }
 }
 
-/// Collector of a move of this node's service, created [`BASELINE_TIME`] before the move's start;
-/// `None` if the move is about another service or versions, has not come so far, or has ended.
+/// Collector of the move `entry`, created at the first use from [`BASELINE_TIME`] before the move's
+/// start on. `None` if there is none yet and the move is not due, has ended, or is about another
+/// service or other versions than the local upstream's.
 fn collector<'a>(state: &State, entry: &'a mut Entry) -> Option<&'a mut Collector> {
     let (row, _) = entry.control.row();
     let spec = &row.spec;
--- a/crates/sycamore-node/src/moves/orders.rs
+++ b/crates/sycamore-node/src/moves/orders.rs
@@ -27,8 +27,8 @@
 const MAX_PLANNERS: usize = 4;
 /// Time each planner waits for every planner ranked before it.
 const PLANNER_DELAY: Duration = Duration::from_millis(400);
-/// Time from the full share of the new version to the status `done`, after which operators may stop
-/// the old version: its calls in flight must end first.
+/// Time from the end of a move, with the full share on the new version, to the order's status
+/// `Done`. Operators may then stop the old version, so its calls in flight must end first.
 const OLD_VERSION_DRAIN: Duration = Duration::from_millis(1_500);
 /// Least time between two attempts to plan a move or to write a status.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/sycamore-node/src/operator/serve.rs
+++ b/crates/sycamore-node/src/operator/serve.rs
@@ -50,7 +50,7 @@
 /// Binds the operators' address and serves requests until `tasks` stop.
 ///
 /// # Errors
-/// [`ListenError`] if the address can't be bound.
+/// `ListenError` if the address can't be bound.
 pub async fn start(node: Rc<Node>, tasks: &TaskGroup) -> Result<(), Report<ListenError>> {
     let addr = node.hub.settings.listen.operator;
     let listener = TcpListener::bind(addr).change_context(ListenError(addr))?;
--- a/crates/sycamore-node/src/timeline/archive.rs
+++ b/crates/sycamore-node/src/timeline/archive.rs
@@ -12,7 +12,7 @@
 const MAX_BATCHES: usize = 256;
 
 /// Reads the archived events, of `instance` only if it is given, merged into one order. If there
-/// are more than [`MAX_BATCHES`] batches, those with the latest generation and number are read.
+/// are more than `MAX_BATCHES` batches, those with the latest generation and number are read.
 ///
 /// # Errors
 /// [`OperatorError::Unavailable`] if the object store does not answer.
