--- a/crates/sycamore-node/src/main.rs
+++ b/crates/sycamore-node/src/main.rs
@@ -44,8 +44,8 @@
         }
     };
     let clock = Clock::ahead_by(options.clock_ahead);
-    let source = run::Source { settings, path: Some(options.settings), clock };
-    match run::run(source, Edges::default()) {
+    let run_options = run::RunOptions { settings, path: Some(options.settings), clock };
+    match run::run(run_options, Edges::default()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
             eprintln!("{report:?}");
--- a/crates/sycamore-node/src/run.rs
+++ b/crates/sycamore-node/src/run.rs
@@ -63,7 +63,7 @@
 }
 
 /// Settings of a node, their file and the clock to run with.
-pub struct Source {
+pub struct RunOptions {
     /// Settings to start with.
     pub settings: Settings,
     /// File to read the settings from again at SIGHUP; `None` if they came from no file.
@@ -76,17 +76,17 @@
 ///
 /// # Errors
 /// [`RunError`] if the node can't start.
-pub fn run(source: Source, edges: Edges) -> Result<(), Report<RunError>> {
+pub fn run(options: RunOptions, edges: Edges) -> Result<(), Report<RunError>> {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new()
         .enable_timer()
         .build()
         .change_context(RunError::Runtime)?;
-    runtime.block_on(serve(source, edges))
+    runtime.block_on(serve(options, edges))
 }
 
-async fn serve(source: Source, edges: Edges) -> Result<(), Report<RunError>> {
+async fn serve(options: RunOptions, edges: Edges) -> Result<(), Report<RunError>> {
     let mut signals = Signals::install()?;
-    let hub = Hub::with_clock(source.settings, source.clock);
+    let hub = Hub::with_clock(options.settings, options.clock);
     let tasks = TaskGroup::default();
     hub.record(EventKind::Started);
     let calls = TaskGroup::default();
@@ -101,7 +101,7 @@
         .change_context(RunError::Subsystem("operators' listener"))?;
     info!(hub.log, "node started"; "caller" => %hub.settings.listen.caller);
     while signals.next().await == Signal::Reload {
-        reload(&hub, source.path.as_deref());
+        reload(&hub, options.path.as_deref());
     }
     info!(hub.log, "node stopping"; "in_flight" => hub.in_flight());
     drain(&hub, &calls, &tasks).await;
