--- a/crates/sycamore-types/src/event.rs
+++ b/crates/sycamore-types/src/event.rs
@@ -1,4 +1,4 @@
-//! Typed events of the time line.
+//! Events that nodes record on the cluster's timeline.
 
 use crate::fact::Fact;
 use crate::id::{ConfigVersion, InstanceId, MoveId, PlanId};
@@ -7,88 +7,89 @@
 use crate::stamp::Stamp;
 use serde::{Deserialize, Serialize};
 
-/// One event, where and when it happened.
+/// Timeline event with its origin and time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// Orders events over all processes.
+    /// Hybrid logical clock time of the event; orders events of all processes.
     pub at: Stamp,
-    /// The instance whose node recorded it.
+    /// Instance whose node recorded the event.
     pub by: InstanceId,
-    /// The recording process' generation.
+    /// Incarnation of the recording process.
     pub incarnation: Incarnation,
-    /// Counts the events of one process, from 1: a gap shows a loss.
+    /// Sequence number among the events of one process, from 1; a gap means that events were lost.
     pub seq: u64,
-    /// What happened.
+    /// Kind and details of the event.
     #[serde(flatten)]
     pub kind: EventKind,
 }
 
-/// What happened.
+/// Kind of a timeline event, with its details.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum EventKind {
-    /// The node started.
+    /// Start of the node's process.
     Started,
-    /// The node is ready to serve.
+    /// Activation of the first configuration, from which on the node is ready to serve calls.
     Ready {
-        /// The configuration in force.
+        /// Number of the configuration in force.
         config: ConfigVersion,
     },
-    /// The node began to drain.
+    /// Start of the node's drain.
     Draining,
-    /// The node stopped.
+    /// Orderly stop of the node's process.
     Stopped,
-    /// A configuration came into force on the node.
+    /// Activation of a configuration on the recording node.
     ConfigApplied {
-        /// Its number.
+        /// Number of the activated configuration.
         config: ConfigVersion,
     },
-    /// A configuration was rejected; the earlier one stays.
+    /// Rejection of an invalid configuration; the one in force stays.
     ConfigRejected {
-        /// Its number.
+        /// Number of the rejected configuration.
         config: ConfigVersion,
-        /// Why.
+        /// Validation error that caused the rejection.
         reason: String,
     },
-    /// A member changed, as the recording node saw it.
+    /// Change of a member's state in the recording node's view.
     MemberChanged {
-        /// The member.
+        /// Instance of the changed member.
         instance: InstanceId,
-        /// Its generation.
+        /// Incarnation of the changed member.
         generation: Incarnation,
-        /// Its new state.
+        /// State that the member entered.
         state: MemberState,
     },
-    /// A fact was learnt first here.
+    /// Fact raised by the recording node that it did not know before.
     FactRaised {
-        /// The fact.
+        /// Fact that was raised.
         fact: Fact,
     },
-    /// A plan was imported.
+    /// Import of a plan by an operator.
     PlanImported {
-        /// The plan.
+        /// Identifier of the imported plan.
         plan: PlanId,
     },
-    /// A move's share changed on the recording node.
+    /// Change of a move's share on the recording node.
     MoveStep {
-        /// The move.
+        /// Move whose share changed.
         mv: MoveId,
-        /// The share of the new version.
+        /// Share of the version that the move rolls out.
         share: Share,
     },
-    /// A move reached its final outcome.
+    /// Final outcome of a move.
     MoveEnded {
-        /// The move.
+        /// Move that ended.
         mv: MoveId,
-        /// Whether it is done; otherwise it was taken back.
+        /// `true` where the move is done, `false` where it was taken back.
         done: bool,
-        /// Why, in a sentence.
+        /// Reason of the outcome, one sentence.
         reason: String,
     },
 }
 
 impl EventKind {
-    /// The move that the event is about.
+    /// Returns the move that the event concerns; `None` for events of nodes, members and
+    /// configurations.
     pub fn mv(&self) -> Option<&MoveId> {
         match self {
             EventKind::MoveStep { mv, .. } | EventKind::MoveEnded { mv, .. } => Some(mv),
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The event's name, as filters and logs use it.
+    /// Returns the event's kind in kebab case, as timeline filters and logs use it.
     pub fn name(&self) -> &'static str {
         match self {
             EventKind::Started => "started",
--- a/crates/sycamore-types/src/fact.rs
+++ b/crates/sycamore-types/src/fact.rs
@@ -1,5 +1,5 @@
-//! Facts that spread from node to node without agreement. Each makes the system safer, or copies
-//! or fulfils what an agreed row says, and a set of them only grows until they expire.
+//! Facts that nodes gossip without consensus: each one either reduces what nodes may do, or repeats
+//! or satisfies a row of the platform's table, and the set of facts only grows until they expire.
 
 use crate::id::{Fingerprint, MoveId, ServiceName, UpstreamVersion};
 use crate::resource::ConfigHead;
@@ -7,101 +7,102 @@
 use crate::time::WallTime;
 use serde::{Deserialize, Serialize};
 
-/// A fact that spreads.
+/// Piece of knowledge that spreads by gossip.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "fact", rename_all = "kebab-case")]
 pub enum Fact {
-    /// A version was found bad: it gets no more work, and the verdict is never unlearnt.
+    /// Verdict that a version is bad: it gets no more calls, and the verdict is never withdrawn.
     BadVersion {
-        /// The service.
+        /// Service whose version is bad.
         service: ServiceName,
-        /// The bad version.
+        /// Version that was found bad.
         version: UpstreamVersion,
-        /// The move that started it.
+        /// Move that rolled the version out.
         by: MoveId,
-        /// Why, in a sentence, for the report.
+        /// Reason of the verdict for the move's report, one sentence.
         reason: String,
-        /// When the verdict fell.
+        /// Time of the verdict; the earliest one is kept.
         at: Stamp,
     },
-    /// An operator aborted a move; it is taken back, also while the platform is out.
+    /// Abort of a move by an operator; the move is taken back even while the platform is
+    /// unreachable.
     Aborted {
-        /// The move.
+        /// Move that was aborted.
         by: MoveId,
-        /// The service.
+        /// Service of the aborted move.
         service: ServiceName,
-        /// The version that loses its traffic.
+        /// Version that the move rolled out and that gets no more calls.
         version: UpstreamVersion,
-        /// When.
+        /// Time of the abort; the earliest one is kept.
         at: Stamp,
     },
-    /// A request that crashes upstreams; refused everywhere until it expires.
+    /// Quarantine of a request that crashes upstreams; every node refuses it until it expires.
     Quarantined {
-        /// Identifies the request across its repeats.
+        /// Fingerprint of the request, equal for all of its repeats.
         fingerprint: Fingerprint,
-        /// When the quarantine ends.
+        /// End of the quarantine.
         until: WallTime,
     },
-    /// An instance was seen to crash while it ran a request.
+    /// Crash of an instance while it ran a request.
     CrashSeen {
-        /// Identifies the request.
+        /// Fingerprint of the request that ran.
         fingerprint: Fingerprint,
-        /// Distinguishes crashes: hash of instance and incarnation.
+        /// Identifier of the crash: hash of instance and incarnation.
         crash: u64,
-        /// When the record expires.
+        /// Time after which the crash no longer counts against the request.
         until: WallTime,
     },
-    /// The highest configuration head seen.
+    /// Highest configuration head that was seen.
     Head(ConfigHead),
-    /// A copy of a move's agreed row, so that the platform is not read by every node.
+    /// Copy of a move's row of the platform's table, so that not every node reads the table.
     MoveRow {
-        /// The move.
+        /// Move that the row describes.
         mv: MoveId,
-        /// The row's revision; the highest wins.
+        /// Revision of the row; the copy with the highest one is kept.
         revision: u64,
-        /// The row as the platform's table holds it, in JSON; at most [`MAX_ROW_BYTES`].
+        /// Row in JSON, as the platform's table holds it; at most [`MAX_ROW_BYTES`].
         row: String,
-        /// When the copy may be forgotten.
+        /// Time after which the copy may be dropped.
         until: WallTime,
     },
-    /// The evidence that a step of a move's agreed schedule asks for has been seen. It allows no
-    /// more than the agreed row does.
+    /// Release of one step of a move's schedule: the evidence that the step requires has been seen.
+    /// It permits no more than the move's row does.
     Cleared {
-        /// The move.
+        /// Move whose step is released.
         by: MoveId,
-        /// The step whose guard is met, from 0.
+        /// Index of the released step in the move's schedule, from 0.
         step: u16,
-        /// When.
+        /// Time of the release; the earliest one is kept.
         at: Stamp,
-        /// When the record may be forgotten.
+        /// Time after which the fact may be dropped.
         until: WallTime,
     },
 }
 
-/// Longest row that a [`Fact::MoveRow`] carries, in bytes.
+/// Maximum size of the row in a [`Fact::MoveRow`], in bytes.
 pub const MAX_ROW_BYTES: usize = 4 << 10;
 
-/// What two facts must share to be about the same thing.
+/// Key of a fact: of several facts with one key, [`Fact::replaces`] selects the one to keep.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FactKey {
-    /// A version of a service found bad.
+    /// Service and version that were found bad.
     BadVersion(ServiceName, UpstreamVersion),
-    /// A move aborted.
+    /// Move that was aborted.
     Aborted(MoveId),
-    /// A request quarantined.
+    /// Request that was quarantined.
     Quarantined(Fingerprint),
-    /// One crash that one request was part of.
+    /// Request and the crash during which it ran.
     CrashSeen(Fingerprint, u64),
-    /// The configuration head.
+    /// Configuration head; a node keeps one.
     Head,
-    /// The agreed row of a move.
+    /// Move whose row was copied.
     MoveRow(MoveId),
-    /// One step of a move's schedule.
+    /// Move and the index of its released step.
     Cleared(MoveId, u16),
 }
 
 impl Fact {
-    /// What the fact is about.
+    /// Returns the key under which a node stores the fact.
     pub fn key(&self) -> FactKey {
         match self {
             Fact::BadVersion { service, version, .. } => {
@@ -116,7 +117,8 @@
         }
     }
 
-    /// The time after which the fact may be forgotten; `None` where it is kept.
+    /// Returns the time after which the fact may be dropped; `None` for facts that are kept
+    /// forever.
     pub fn expires(&self) -> Option<WallTime> {
         match self {
             Fact::Quarantined { until, .. }
@@ -127,8 +129,9 @@
         }
     }
 
-    /// Whether `self` replaces `other`, a fact with the same key. The rule is a total order on what
-    /// matters, so that every node keeps the same one whatever the order of arrival.
+    /// Returns whether `self` replaces `other`, a fact with the same key. The comparison is a total
+    /// order on the fields that matter, so that all nodes keep the same fact whatever the order of
+    /// arrival.
     pub fn replaces(&self, other: &Fact) -> bool {
         match (self, other) {
             (Fact::Head(new), Fact::Head(old)) => new > old,
--- a/crates/sycamore-types/src/headers.rs
+++ b/crates/sycamore-types/src/headers.rs
@@ -1,52 +1,55 @@
-//! Header names that nodes, callers and upstreams use. Names under [`INTERNAL_PREFIX`] are only
-//! used among nodes and stripped from what callers and upstreams send.
+//! Names of the HTTP headers that nodes, callers and upstreams exchange. Names under
+//! [`INTERNAL_PREFIX`] are for requests between nodes; a node strips them from what callers and
+//! upstreams send.
 
 /// Prefix of the headers that only nodes may set.
 pub const INTERNAL_PREFIX: &str = "x-shift-";
 
-/// From callers: their identifier of the request. Lines of the log name it; an upstream that calls on
-/// gives the call this identifier with a dot and something of its own behind it.
+/// Set by callers: identifier of the request, which log lines repeat. An upstream that makes a call
+/// of its own sends this identifier, a dot and a suffix of its choice.
 pub const REQUEST: &str = "shift-request";
-/// On answers: `not-run` where the request certainly did not run, `unknown` where it may have.
+/// Set on answers: `not-run` where the request certainly did not run, `unknown` where it may have
+/// run.
 pub const OUTCOME: &str = "shift-outcome";
-/// On refusals: the reason, one word.
+/// Set on refusals: the refusal's reason, one word.
 pub const REASON: &str = "shift-reason";
-/// On requests: the time left for the call, in milliseconds.
+/// Set on requests: time left for the call, in milliseconds.
 pub const TIMEOUT_MS: &str = "shift-timeout-ms";
-/// On requests: makes repeats of a non-idempotent request safe.
+/// Set on requests: key under which repeats of a non-idempotent request run at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// On requests: `critical`, `normal` or `sheddable`.
+/// Set on requests: `critical`, `normal` or `sheddable`.
 pub const CRITICALITY: &str = "shift-criticality";
-/// On requests: the name of the caller, for fairness and evidence.
+/// Set on requests: name of the caller, used for fair queueing and for evidence on versions.
 pub const CALLER: &str = "shift-caller";
 
-/// Among nodes: the call's identifier.
+/// Between nodes: identifier of the call.
 pub const CALL_ID: &str = "x-shift-call";
-/// Among nodes, and towards an upstream that calls on: levels that the call is deep; a trailing `r`
-/// says that an attempt on the way was a retry.
+/// Between nodes, and on requests to an upstream that makes calls of its own: depth of the call; a
+/// trailing `r` means that an attempt above was a retry.
 pub const HOPS: &str = "x-shift-hops";
-/// Among nodes: the attempt's number within the call, from 1.
+/// Between nodes: number of the attempt within the call, from 1.
 pub const ATTEMPT: &str = "x-shift-attempt";
-/// Among nodes: the service meant, the route and the version chosen.
+/// Between nodes: requested service, route, and chosen version.
 pub const ROUTE: &str = "x-shift-route";
-/// Among nodes, on answers: load of the upstream, `in-flight/limit/queued`.
+/// Between nodes, on answers: load of the upstream, `in-flight/limit/queued`.
 pub const LOAD: &str = "x-shift-load";
-/// Among nodes: what identifies the request across its repeats.
+/// Between nodes: fingerprint of the request, equal for all of its repeats.
 pub const FINGERPRINT: &str = "x-shift-fingerprint";
-/// Among nodes: the receiver is asked to keep the record of the call's idempotency key.
+/// Between nodes: asks the receiver to keep the record of the call's idempotency key.
 pub const KEEP: &str = "x-shift-keep";
-/// Among nodes: hash of the caller's name or address.
+/// Between nodes: hash of the caller's name or address.
 pub const CALLER_HASH: &str = "x-shift-caller";
-/// Among nodes: the service of the instance at which the call began.
+/// Between nodes: service of the instance that the call entered at.
 pub const ORIGIN: &str = "x-shift-origin";
-/// Among nodes: `1` where the call may run more than once.
+/// Between nodes: `1` where the call may run more than once.
 pub const REPEATS: &str = "x-shift-repeats";
-/// Among nodes: the time left until the call's answer is worth less, in milliseconds.
+/// Between nodes: time left until the call's objective, after which its answer is worth less, in
+/// milliseconds.
 pub const OBJECTIVE_MS: &str = "x-shift-objective-ms";
-/// Among nodes: longest time that the call may have been under way, in milliseconds.
+/// Between nodes: upper bound of the time since the call was sent, in milliseconds.
 pub const AGE_MS: &str = "x-shift-age-ms";
-/// Among nodes, on refusals: the time to come back after, in milliseconds; `retry-after` has whole
-/// seconds only.
+/// Between nodes, on refusals: time to wait before a retry, in milliseconds, since `retry-after`
+/// has a resolution of seconds.
 pub const RETRY_AFTER_MS: &str = "x-shift-retry-after-ms";
-/// Among nodes: the deployment's name.
+/// Between nodes: name of the deployment.
 pub const DEPLOYMENT: &str = "x-shift-deployment";
--- a/crates/sycamore-types/src/id.rs
+++ b/crates/sycamore-types/src/id.rs
@@ -1,33 +1,34 @@
-//! Identifiers: checked, cheap to clone, ordered, and written as plain strings.
+//! Validated identifiers, which serialize as plain strings and are cheap to clone.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-/// Longest accepted identifier, in bytes.
+/// Maximum length of an identifier, in bytes.
 pub const MAX_ID_BYTES: usize = 64;
 
-/// Why a string is no identifier.
+/// Error of a string that is not a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum IdError {
-    /// The string is empty.
+    /// Empty string.
     Empty,
-    /// The string is longer than [`MAX_ID_BYTES`]; holds its length in bytes.
+    /// String longer than [`MAX_ID_BYTES`]; holds its length in bytes.
     TooLong(usize),
-    /// The string holds a character other than ASCII letters, digits, `-`, `_`, `.` and `:`.
+    /// String with a character other than ASCII letters, digits, `-`, `_`, `.` and `:`; holds the
+    /// first such character.
     BadCharacter(char),
 }
 
 impl fmt::Display for IdError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            IdError::Empty => write!(f, "identifier is empty"),
+            IdError::Empty => write!(f, "identifier is empty; expected 1 to {MAX_ID_BYTES} bytes"),
             IdError::TooLong(len) => {
-                write!(f, "identifier has {len} bytes, at most {MAX_ID_BYTES} are allowed")
+                write!(f, "identifier has {len} bytes; at most {MAX_ID_BYTES} are allowed")
             }
             IdError::BadCharacter(c) => write!(
                 f,
-                "identifier holds {c:?}; only ASCII letters, digits, '-', '_', '.' and ':' are allowed"
+                "identifier contains {c:?}; only ASCII letters, digits, '-', '_', '.' and ':' are allowed"
             ),
         }
     }
@@ -35,7 +36,7 @@
 
 impl std::error::Error for IdError {}
 
-fn check(id: &str) -> Result<(), IdError> {
+fn validate(id: &str) -> Result<(), IdError> {
     if id.is_empty() {
         return Err(IdError::Empty);
     }
@@ -56,16 +57,17 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `id` and wraps it.
+            /// Validates `id` and creates the identifier.
             ///
             /// # Errors
-            /// [`IdError`] where `id` is empty, too long or holds a character that is not allowed.
+            /// Returns [`IdError`] where `id` is empty, too long or contains a character that is
+            /// not allowed.
             pub fn new(id: impl AsRef<str>) -> Result<Self, IdError> {
-                check(id.as_ref())?;
+                validate(id.as_ref())?;
                 Ok(Self(Arc::from(id.as_ref())))
             }
 
-            /// The identifier as text.
+            /// Returns the identifier as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -102,23 +104,23 @@
 }
 
 string_id! {
-    /// Name of a deployment; nodes refuse peers of another one.
+    /// Name of a deployment; nodes refuse peers of other deployments.
     Deployment
 }
 string_id! {
-    /// Name of an instance: one upstream and the node beside it.
+    /// Name of an instance: an upstream and the node beside it.
     InstanceId
 }
 string_id! {
-    /// Name of a service, which several upstreams serve.
+    /// Name of a service, which one or more upstreams serve.
     ServiceName
 }
 string_id! {
-    /// Version of a service's upstream software, such as `4.2.0`.
+    /// Version of an upstream's software, such as `4.2.0`.
     UpstreamVersion
 }
 string_id! {
-    /// Name of a route within the configuration.
+    /// Name of a route in the configuration.
     RouteName
 }
 string_id! {
@@ -126,7 +128,7 @@
     DataCentre
 }
 string_id! {
-    /// Name of a region: a group of data centres.
+    /// Name of a region, a group of data centres.
     Region
 }
 string_id! {
@@ -134,11 +136,11 @@
     PlanId
 }
 string_id! {
-    /// Identifier of a move within a plan.
+    /// Identifier of a move in a plan.
     MoveId
 }
 string_id! {
-    /// Name of an operator, as recorded with what they changed.
+    /// Name of an operator, recorded with the operator's changes.
     OperatorName
 }
 
@@ -178,19 +180,20 @@
 }
 
 number_id! {
-    /// Identifier of one operation on the platform's table; a retry carries the same one.
+    /// Identifier of an operation on the platform's table; retries of the operation reuse it.
     OpId(u128), "32"
 }
 number_id! {
-    /// Identifier of one call, the same through all of its attempts.
+    /// Identifier of a call, shared by all of its attempts.
     CallId(u128), "32"
 }
 number_id! {
-    /// Hash of what identifies a request across its repeats: route, method, path and body prefix.
+    /// Fingerprint of a request, equal for all of its repeats: hash of route, method, path and the
+    /// start of the body.
     Fingerprint(u64), "16"
 }
 
-/// Number of a configuration; a higher one replaces a lower one.
+/// Number of a configuration; a higher number replaces a lower one.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -204,7 +207,7 @@
 }
 
 impl ConfigVersion {
-    /// The version after this one.
+    /// Returns the number of the next configuration.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
--- a/crates/sycamore-types/src/member.rs
+++ b/crates/sycamore-types/src/member.rs
@@ -1,74 +1,76 @@
-//! Members: upstreams that announced themselves, each with the node beside it.
+//! Cluster members: upstreams that announced themselves, each with the node beside it.
 
 use crate::id::{DataCentre, InstanceId, Region, ServiceName, UpstreamVersion};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Generation of an instance; a restart or a refutation takes a higher one.
+/// Incarnation of an instance; increases when it restarts and when it refutes a suspicion.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// What a member is doing. Within one incarnation the state only moves down this list.
+/// Lifecycle state of a member; within one incarnation it only moves down this list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// The node is up, its upstream has not announced itself or is starting.
+    /// Node that is up while its upstream is starting or has not announced itself.
     Joining,
-    /// The upstream takes work.
+    /// Member that accepts calls.
     Serving,
-    /// The failure detector has missed it; it still gets work where nothing better is known.
+    /// Member that missed probes of the failure detector; it gets calls only where no better
+    /// candidate is known.
     Suspect,
-    /// It leaves and gets no new work.
+    /// Member that is leaving and gets no new calls.
     Draining,
-    /// It is gone.
+    /// Member that has left or failed.
     Dead,
 }
 
-/// Where a node listens.
+/// Socket addresses on which a node accepts traffic of other nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Endpoints {
-    /// Control messages of other nodes.
+    /// Address for control messages.
     pub peer: SocketAddr,
-    /// Calls relayed by other nodes.
+    /// Address for relayed calls.
     pub relay: SocketAddr,
 }
 
-/// An upstream and its node, as other nodes know it.
+/// Upstream and its node, as gossiped to other nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// The instance.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Its generation.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// What it is doing.
+    /// Lifecycle state, as last heard.
     pub state: MemberState,
-    /// The service that it serves.
+    /// Service that the upstream serves.
     pub service: ServiceName,
-    /// The version of its upstream.
+    /// Version of the upstream's software.
     pub version: UpstreamVersion,
-    /// The data centre it is in.
+    /// Data centre of the instance.
     pub data_centre: DataCentre,
-    /// The region it is in.
+    /// Region of the instance.
     pub region: Region,
-    /// Where its node listens.
+    /// Addresses of the instance's node.
     pub endpoints: Endpoints,
-    /// Slots that its upstream declared.
+    /// Number of concurrent calls that the upstream declared it can run.
     pub slots: u16,
 }
 
-/// All members that a node knows, one consistent view.
+/// Consistent view of all members that a node knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MemberView {
-    /// Members by instance, dead ones left out.
+    /// Members by instance, without dead ones.
     pub members: BTreeMap<InstanceId, Member>,
 }
 
 impl MemberView {
-    /// The members of `service` in `state` [`MemberState::Serving`] or [`MemberState::Suspect`].
+    /// Iterates over the members of `service` in state [`MemberState::Serving`] or
+    /// [`MemberState::Suspect`].
     pub fn serving<'a>(
         &'a self,
         service: &'a ServiceName,
--- a/crates/sycamore-types/src/outcome.rs
+++ b/crates/sycamore-types/src/outcome.rs
@@ -1,40 +1,40 @@
-//! Outcomes of calls, as the node beside the upstream saw them.
+//! Outcomes of calls, as the node beside the upstream observes them.
 
 use crate::id::{RouteName, ServiceName, UpstreamVersion};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::time::Duration;
 
-/// Why a request was refused without having run.
+/// Reason for refusing a request that has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalReason {
-    /// No slot came free, or could not in time.
+    /// No slot became free in time, or none was expected to.
     Overloaded,
-    /// The upstream itself turned it away.
+    /// The upstream refused the request because of its own load.
     Shed,
     /// The deadline had passed, or could not be met.
     Deadline,
-    /// The upstream or its node is leaving.
+    /// The upstream or its node is draining.
     Draining,
-    /// The version was found bad.
+    /// The chosen version was found bad.
     BadVersion,
-    /// The version has had its share.
+    /// The chosen version has used up its share of the traffic.
     ShareSpent,
-    /// The request is known to crash upstreams.
+    /// The request is quarantined because it crashes upstreams.
     Quarantined,
-    /// No upstream could be reached.
+    /// No upstream of the service was reachable.
     NoUpstream,
     /// The node has no current configuration yet.
     NotReady,
-    /// The call went through too many hops.
+    /// The call exceeded the maximum number of hops.
     HopLimit,
-    /// The same idempotency key is being run right now.
+    /// A request with the same idempotency key is running.
     InProgress,
 }
 
 impl RefusalReason {
-    /// The reason as headers and logs carry it.
+    /// Returns the reason as headers, logs and metrics carry it.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalReason::Overloaded => "overloaded",
@@ -58,28 +58,29 @@
     }
 }
 
-/// How a call that reached the upstream ended.
+/// Outcome of a call that reached the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OutcomeKind {
-    /// Answered with a status below 400.
+    /// Answer with a status below 400.
     Ok,
-    /// Answered with a status of 400 to 499: the caller's fault, or a version that answers wrongly.
+    /// Answer with a status of 400 to 499: a mistake of the caller, or a version that answers
+    /// wrongly.
     Rejected,
-    /// Answered with a status of 500 or more.
+    /// Answer with a status of 500 or more.
     Failed,
-    /// The answer was cut, or the connection broke.
+    /// Incomplete answer, or a broken connection.
     Broken,
     /// No answer by the deadline.
     TimedOut,
-    /// The caller gave up first: says nothing about the version.
+    /// Call abandoned by the caller; carries no information about the version.
     Cancelled,
-    /// The upstream itself refused for load: judged apart from failures.
+    /// Refusal by the upstream because of its load; counted apart from failures.
     Shed,
 }
 
 impl OutcomeKind {
-    /// The outcome as metrics and logs name it.
+    /// Returns the outcome as metrics and logs carry it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Ok => "ok",
@@ -93,21 +94,21 @@
     }
 }
 
-/// One call that reached the upstream beside this node.
+/// Record of a call that reached the upstream beside this node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallOutcome {
-    /// The service.
+    /// Service that was called.
     pub service: ServiceName,
-    /// The version that ran it.
+    /// Version that ran the call.
     pub version: UpstreamVersion,
-    /// The route.
+    /// Route that the call matched.
     pub route: RouteName,
-    /// Distinguishes callers: hash of the caller's address or name.
+    /// Hash of the caller's address or name; distinguishes callers.
     pub caller: u64,
-    /// How it ended.
+    /// Outcome that the node observed.
     pub kind: OutcomeKind,
-    /// From admission to the last byte of the answer.
+    /// Time from admission to the last byte of the answer.
     pub latency: Duration,
-    /// The upstream was still warming up.
+    /// `true` where the upstream was still warming up.
     pub cold: bool,
 }
--- a/crates/sycamore-types/src/prelude.rs
+++ b/crates/sycamore-types/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for one import.
+//! Common types of the workspace, re-exported for a single import.
 
 pub use crate::event::{Event, EventKind};
 pub use crate::fact::{Fact, FactKey};
--- a/crates/sycamore-types/src/resource.rs
+++ b/crates/sycamore-types/src/resource.rs
@@ -1,4 +1,4 @@
-//! Resources of a configuration.
+//! Resources that make up a configuration.
 
 use crate::hash::ContentHash;
 use crate::id::{ConfigVersion, RouteName, ServiceName};
@@ -6,75 +6,75 @@
 use serde_with::{serde_as, DurationMilliSeconds};
 use std::time::Duration;
 
-/// Names the current configuration: the row that the platform's table holds.
+/// Pointer to the current configuration, stored as a row of the platform's table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ConfigHead {
-    /// Its number.
+    /// Number of the configuration.
     pub version: ConfigVersion,
-    /// The hash of its manifest.
+    /// Hash of the configuration's manifest.
     pub manifest: ContentHash,
 }
 
-/// One resource of a configuration.
+/// Resource of a configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Resource {
-    /// A service that routes may point at.
+    /// Service that routes may point at.
     Service(Service),
-    /// A route from callers to a service.
+    /// Route from callers to a service.
     Route(Route),
-    /// What callers may send, and how long they may take.
+    /// Limits on what callers may send and how long they may take.
     Callers(CallerLimits),
 }
 
-/// A service that upstreams serve.
+/// Service that upstreams serve, with its call policies.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Limits of admission.
+    /// Admission limits at each upstream of the service.
     #[serde(default)]
     pub limits: Limits,
-    /// How its calls are tried again.
+    /// Retry policy for calls of the service.
     #[serde(default)]
     pub retry: RetryPolicy,
 }
 
-/// A route: calls for `host` whose path starts with `prefix` go to `service`.
+/// Route: sends calls for `host` whose path starts with `prefix` to `service`.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: RouteName,
-    /// The host that calls must name, in lower case and without a port; `None` takes every host.
+    /// Host that calls must name, in lower case and without a port; `None` matches every host.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<String>,
-    /// Path prefix, starting with `/`; the longest that matches wins.
+    /// Path prefix, starting with `/`; the longest matching one wins.
     pub prefix: String,
-    /// The service that it points at; the first of them where the route is split.
+    /// Service that receives the route's calls; of a split route, the first of its services.
     pub service: ServiceName,
-    /// The services that share the route's calls; empty where `service` takes all of them.
+    /// Services that share the route's calls by weight; empty where `service` receives all of them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub split: Vec<WeightedService>,
-    /// Time a call may take where the caller names none, in milliseconds.
+    /// Timeout of calls whose caller sets none, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "timeout_ms")]
     pub timeout: Duration,
-    /// How its calls are treated.
+    /// Policy for calls of the route.
     #[serde(default, skip_serializing_if = "RoutePolicy::is_default")]
     pub policy: RoutePolicy,
 }
 
 impl Route {
-    /// The service of a call, for a `draw` of 0.0 to 1.0 that is even over all calls.
+    /// Selects the service of a call; `draw` is uniformly distributed over 0.0 to 1.0.
     pub fn service_for(&self, draw: f64) -> &ServiceName {
-        let sum: u64 = self.split.iter().map(|part| u64::from(part.weight)).sum();
-        let mut at = draw * sum as f64;
+        let total: u64 = self.split.iter().map(|part| u64::from(part.weight)).sum();
+        let mut remaining = draw * total as f64;
         for part in &self.split {
-            at -= f64::from(part.weight);
-            if at < 0.0 {
+            remaining -= f64::from(part.weight);
+            if remaining < 0.0 {
                 return &part.service;
             }
         }
@@ -82,44 +82,45 @@
     }
 }
 
-/// A part of a split route.
+/// Service and weight in a split route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightedService {
-    /// The service.
+    /// Service that receives this part of the calls.
     pub service: ServiceName,
-    /// Its part of the calls, relative to the sum of all weights.
+    /// Weight of the service relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
-/// Whether a call may run more than once.
+/// Condition under which a call may run more than once.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// Where its method is idempotent (RFC 9110, section 9.2.2).
+    /// Calls whose method is idempotent may (RFC 9110, section 9.2.2).
     #[default]
     ByMethod,
-    /// Whatever its method is.
+    /// Calls of every method may.
     Always,
-    /// At most once, whatever its method is.
+    /// No call may.
     Never,
 }
 
-/// How the calls of a route are treated.
+/// Policy for the calls of a route.
 #[serde_as]
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RoutePolicy {
-    /// Whether they may run more than once.
+    /// Condition under which a call may run more than once.
     pub repeat: Repeat,
-    /// Upstreams that one call may be sent to; `None` leaves it to the service's retry policy.
+    /// Number of upstreams that a call may be sent to; `None` uses the service's retry policy.
     pub attempts: Option<u8>,
-    /// Time within which an answer is worth most, in milliseconds; `None` where there is no such
-    /// aim.
+    /// Time after which an answer is worth less, in milliseconds; `None` where only the timeout
+    /// counts.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "objective_ms")]
     pub objective: Option<Duration>,
-    /// Rank among the calls of a service: 0 is served first; `None` leaves it to the caller.
+    /// Priority among the calls of a service, 0 being the highest; `None` uses the caller's
+    /// criticality.
     pub rank: Option<u8>,
 }
 
@@ -129,20 +130,20 @@
     }
 }
 
-/// What callers may send, and how long they may take or stay idle.
+/// Limits on what callers may send and how long they may take or stay idle.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallerLimits {
-    /// Longest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: u64,
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Longest time to send a head, in milliseconds; `None` leaves it to the node's settings.
+    /// Maximum time to receive a request head, in milliseconds; `None` uses the node's settings.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "head_ms")]
     pub head_time: Option<Duration>,
-    /// Longest time that a connection stays idle, in milliseconds.
+    /// Maximum idle time of a connection, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "idle_ms")]
     pub idle_time: Duration,
@@ -159,18 +160,18 @@
     }
 }
 
-/// Limits of admission beside an upstream.
+/// Admission limits at an upstream.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Calls that may wait for a slot.
+    /// Maximum number of calls that wait for a slot.
     pub queue: u16,
-    /// Longest wait for a slot, in milliseconds.
+    /// Maximum time that a call waits for a slot, in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "queue_ms")]
     pub queue_time: Duration,
-    /// Largest body accepted, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
 }
 
@@ -180,14 +181,14 @@
     }
 }
 
-/// How calls of a service are tried again. Only calls that certainly did not run, or that are
-/// idempotent, are tried again at all.
+/// Retry policy of a service. Only calls that certainly did not run, or that are idempotent, are
+/// retried.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetryPolicy {
-    /// Attempts in all, the first included.
+    /// Maximum number of attempts of a call, including the first.
     pub attempts: u8,
-    /// Retries allowed for each 100 first attempts.
+    /// Number of retries allowed for each 100 first attempts.
     pub budget_percent: u8,
 }
 
--- a/crates/sycamore-types/src/share.rs
+++ b/crates/sycamore-types/src/share.rs
@@ -1,11 +1,11 @@
-//! Shares of a service's traffic between its versions.
+//! Shares of a service's traffic that its versions receive.
 
 use crate::id::{MoveId, ServiceName, UpstreamVersion};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A share of traffic in basis points: 10,000 is all of it.
+/// Share of traffic in basis points, 0 to 10,000.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,12 +13,12 @@
 pub struct Share(u16);
 
 impl Share {
-    /// No traffic.
+    /// Share of a version that receives no traffic.
     pub const NONE: Share = Share(0);
-    /// All traffic.
+    /// Share of a version that receives all traffic.
     pub const ALL: Share = Share(10_000);
 
-    /// A share of `points` basis points, capped at [`Share::ALL`].
+    /// Creates a share of `points` basis points, capped at [`Share::ALL`].
     pub const fn from_basis_points(points: u16) -> Self {
         if points > 10_000 {
             Share(10_000)
@@ -27,12 +27,12 @@
         }
     }
 
-    /// The share in basis points.
+    /// Returns the share in basis points, 0 to 10,000.
     pub const fn basis_points(self) -> u16 {
         self.0
     }
 
-    /// The share as a fraction, 0.0 to 1.0.
+    /// Returns the share as a fraction, 0.0 to 1.0.
     pub fn as_fraction(self) -> f64 {
         f64::from(self.0) / 10_000.0
     }
@@ -44,27 +44,27 @@
     }
 }
 
-/// The share that one version of a service gets, and who asked for it.
+/// Share of traffic that a version of a service receives, and the move that sets it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionShare {
-    /// The version.
+    /// Version that receives the share.
     pub version: UpstreamVersion,
-    /// Its share of the service's traffic.
+    /// Share of the service's traffic.
     pub share: Share,
-    /// The move that sets the share; `None` for the settled version.
+    /// Move that sets the share; `None` for the stable version, which no move rolls out.
     pub by: Option<MoveId>,
 }
 
-/// For each service, its versions with their shares. A version that is not listed gets nothing; a
-/// service that is not listed is not split and any version serves it.
+/// Traffic shares of the versions of each service. A version without an entry receives nothing; a
+/// service without an entry is not split, and all of its versions receive traffic.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShareTable {
-    /// The shares by service.
+    /// Versions and their shares, by service.
     pub services: BTreeMap<ServiceName, Vec<VersionShare>>,
 }
 
 impl ShareTable {
-    /// The share of `version` of `service`; all of it where the service is not split.
+    /// Returns the share of `version` of `service`; [`Share::ALL`] where the service is not split.
     pub fn share_of(&self, service: &ServiceName, version: &UpstreamVersion) -> Share {
         match self.services.get(service) {
             None => Share::ALL,
--- a/crates/sycamore-types/src/snapshot.rs
+++ b/crates/sycamore-types/src/snapshot.rs
@@ -1,30 +1,30 @@
-//! A configuration in force: whole, checked and immutable.
+//! Immutable snapshot of a validated configuration.
 
 use crate::id::{ConfigVersion, ServiceName};
 use crate::resource::{CallerLimits, Route, Service};
 use std::collections::BTreeMap;
 
-/// A whole configuration. Every route's service is in `services`.
+/// Complete configuration; the service of every route is in `services`.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Snapshot {
-    /// Its number.
+    /// Number of the configuration.
     pub version: ConfigVersion,
     /// Services by name.
     pub services: BTreeMap<ServiceName, Service>,
-    /// Routes, longest prefix first; of equal ones those that name a host first.
+    /// Routes, longest prefix first; of equal prefixes, those with a host first.
     pub routes: Vec<Route>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub callers: CallerLimits,
 }
 
 impl Snapshot {
-    /// The route that a call for `path` at `host` takes: among those of the host and those of every
-    /// host, the one with the longest prefix that ends at a path segment. A port in `host` and its
-    /// case don't matter (RFC 9110, section 4.2.3).
+    /// Finds the route of a call for `path` at `host`: of the routes for this host or every host,
+    /// the one with the longest prefix that ends at a path segment. The port and the case of `host`
+    /// are ignored (RFC 9110, section 4.2.3).
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = without_port(host);
         let matches = |route: &&Route| {
-            route.host.as_deref().is_none_or(|own| own.eq_ignore_ascii_case(host))
+            route.host.as_deref().is_none_or(|expected| expected.eq_ignore_ascii_case(host))
                 && matches_prefix(path, &route.prefix)
         };
         self.routes.iter().find(matches)
--- a/crates/sycamore-types/src/stamp.rs
+++ b/crates/sycamore-types/src/stamp.rs
@@ -1,21 +1,21 @@
-//! Hybrid logical clock stamps (Kulkarni et al., "Logical Physical Clocks", 2014).
+//! Hybrid logical clock (Kulkarni et al., "Logical Physical Clocks", 2014).
 
 use crate::time::WallTime;
 use serde::{Deserialize, Serialize};
 
-/// A hybrid logical clock reading: orders events so that a cause comes before its effect.
+/// Reading of a hybrid logical clock, which orders a cause before its effect.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp {
-    /// The highest civil time seen.
+    /// Highest civil time seen so far.
     pub wall: WallTime,
-    /// Orders events that share `wall`.
+    /// Counter that orders events with equal `wall`.
     pub logical: u32,
 }
 
 impl Stamp {
-    /// The stamp of a local event at civil time `now`.
+    /// Returns the stamp of a local event at civil time `now`.
     #[must_use]
     pub fn tick(self, now: WallTime) -> Stamp {
         if now > self.wall {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The stamp of receiving a message that carries `other`, at civil time `now`.
+    /// Returns the stamp for receiving a message with stamp `other` at civil time `now`.
     #[must_use]
     pub fn merge(self, other: Stamp, now: WallTime) -> Stamp {
         self.max(other).tick(now)
--- a/crates/sycamore-types/src/time.rs
+++ b/crates/sycamore-types/src/time.rs
@@ -1,11 +1,12 @@
-//! Points in time.
+//! Points in monotonic and civil time.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A point on a node's monotonic clock, in microseconds since the process started.
+/// Point on a node's monotonic clock, in microseconds since the process started.
 ///
-/// Only comparable within one process. Decision crates are given it and never read a clock.
+/// Values are only comparable within one process. Decision crates are passed the time and never
+/// read a clock.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,17 +14,17 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// The point `millis` milliseconds after the start.
+    /// Returns the point `millis` milliseconds after the start of the process.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// The point `secs` seconds after the start.
+    /// Returns the point `secs` seconds after the start of the process.
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs * 1_000_000)
     }
 
-    /// Time passed since `earlier`; zero where `earlier` is later.
+    /// Returns the time since `earlier`; zero where `earlier` is later than `self`.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -37,8 +38,8 @@
     }
 }
 
-/// A point in civil time, in milliseconds since the Unix epoch; clocks of instances may differ by
-/// seconds.
+/// Point in civil time, in milliseconds since the Unix epoch; clocks of different instances may
+/// differ by seconds.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -46,7 +47,7 @@
 pub struct WallTime(pub u64);
 
 impl WallTime {
-    /// Time passed since `earlier`; zero where `earlier` is later.
+    /// Returns the time since `earlier`; zero where `earlier` is later than `self`.
     pub fn since(self, earlier: WallTime) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
--- a/crates/sycamore-types/tests/types.rs
+++ b/crates/sycamore-types/tests/types.rs
@@ -1,18 +1,22 @@
-//! Identifiers, stamps, shares and routes.
+//! Tests of identifier validation, hybrid logical clocks and route selection.
 
 use quickcheck::quickcheck;
 use sycamore_types::prelude::*;
 
+/// Guards against accepting an empty or overlong identifier, or one with a space, a slash or a
+/// non-ASCII character.
 #[test]
-fn identifiers_are_checked() {
+fn invalid_identifiers_are_rejected() {
     assert!(ServiceName::new("book-bahi_2.x:y").is_ok());
     for bad in ["", "a b", "a/b", "č", &"x".repeat(65)] {
         assert!(ServiceName::new(bad).is_err(), "{bad:?} was accepted");
     }
 }
 
+/// Guards against a prefix that matches in the middle of a path segment, such as `/tickets` on
+/// `/ticketsale`.
 #[test]
-fn a_route_ends_at_a_path_segment() {
+fn a_prefix_matches_whole_path_segments_only() {
     let route = |prefix: &str| Route {
         name: RouteName::new("r").expect("valid"),
         host: None,
@@ -31,7 +35,8 @@
 }
 
 quickcheck! {
-    fn a_stamp_only_grows(wall: u32, logical: u32, other_wall: u32, now: u32) -> bool {
+    // Guards against a clock reading that doesn't exceed its predecessor or the received stamp.
+    fn stamps_increase_on_tick_and_merge(wall: u32, logical: u32, other_wall: u32, now: u32) -> bool {
         let at = |millis: u32| WallTime(u64::from(millis));
         let stamp = Stamp { wall: at(wall), logical };
         let other = Stamp { wall: at(other_wall), logical: 0 };
@@ -39,13 +44,16 @@
         stamp.tick(at(now)) > stamp && merged > stamp && merged > other
     }
 
-    fn identifiers_survive_text(id: u64) -> bool {
+    // Guards against a text form of a fingerprint that doesn't parse back to the same value.
+    fn fingerprints_survive_formatting_and_parsing(id: u64) -> bool {
         Fingerprint(id).to_string().parse() == Ok(Fingerprint(id))
     }
 }
 
+/// Guards against a route of another host, or of every host, that takes calls of a host with its
+/// own route, and against comparing the host's case or port.
 #[test]
-fn a_route_is_chosen_by_host_and_longest_prefix() {
+fn routes_are_selected_by_host_and_longest_prefix() {
     let route = |host: Option<&str>, prefix: &str| Route {
         name: RouteName::new("r").expect("valid"),
         host: host.map(str::to_owned),
@@ -64,10 +72,10 @@
     let found = |host: &str, path: &str| {
         snapshot.route(host, path).map(|route| (route.host.clone(), route.prefix.clone()))
     };
-    let own = |host: &str, prefix: &str| Some((Some(host.to_owned()), prefix.to_owned()));
-    assert_eq!(found("a.example", "/x/y/1"), own("a.example", "/x/y/"));
-    assert_eq!(found("A.Example:8080", "/x/y/1"), own("a.example", "/x/y/"));
-    assert_eq!(found("b.example", "/x/y/1"), own("b.example", "/x/"));
+    let expected = |host: &str, prefix: &str| Some((Some(host.to_owned()), prefix.to_owned()));
+    assert_eq!(found("a.example", "/x/y/1"), expected("a.example", "/x/y/"));
+    assert_eq!(found("A.Example:8080", "/x/y/1"), expected("a.example", "/x/y/"));
+    assert_eq!(found("b.example", "/x/y/1"), expected("b.example", "/x/"));
     assert_eq!(found("c.example", "/x/1"), Some((None, "/x/".to_owned())));
     assert_eq!(found("c.example", "/z"), None);
 }
