--- a/crates/sycamore-call/src/admit/mod.rs
+++ b/crates/sycamore-call/src/admit/mod.rs
@@ -1,5 +1,5 @@
-//! Admission beside an upstream: slots, connections, a short queue ordered by class and deadline, and
-//! refusal at once of what can't finish in time.
+//! Admission control at an upstream: bounds concurrent calls by slots and connections, queues a few
+//! more by class and deadline, and refuses at once the calls that can't finish in time.
 
 mod limit;
 mod queue;
@@ -14,34 +14,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use sycamore_types::prelude::*;
-use turned_away::TurnedAway;
-use work::WorkTimes;
-
-/// Factor of the expected wait that must fit into the longest: an estimate that is a little short
-/// would let a call wait in vain.
-const WAIT_MARGIN: f64 = 1.25;
-/// Factor of the expected wait of a call with an objective: more urgent calls will overtake it.
-const OVERTAKEN: f64 = 1.5;
-/// Longest wait of a call whose objective is out of reach: while calls queue for longer than this, it
-/// would take a slot from one that can still meet its own.
-const LATE_WAIT: Duration = Duration::from_millis(25);
-/// Longest such time.
+use turned_away::RefusedCallers;
+use work::ServiceTimes;
+
+/// Safety factor on the expected queue wait before it is compared with the maximum wait; with an
+/// estimate slightly too low, calls would wait and then be refused.
+const WAIT_SAFETY_FACTOR: f64 = 1.25;
+/// Factor on the expected queue wait of a call with an objective, since more urgent calls will
+/// overtake it.
+const OBJECTIVE_WAIT_FACTOR: f64 = 1.5;
+/// Maximum wait of a call that can't meet its objective. While the queue wait is longer, such a
+/// call would take a slot from one that can still meet its objective.
+const MAX_LATE_WAIT: Duration = Duration::from_millis(25);
+/// Maximum delay that a refused caller is told to wait before it retries.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// How much a call matters when not all can run.
+/// Importance of a call under overload, set by its caller or its route; higher classes run first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Criticality {
-    /// Refused first.
+    /// Calls that are refused first and may fill only half of the queue.
     Sheddable,
-    /// Neither.
+    /// Calls without a stated importance.
     #[default]
     Normal,
-    /// Refused last.
+    /// Calls that are refused last.
     Critical,
 }
 
 impl Criticality {
-    /// The class as headers carry it; unknown text counts as normal.
+    /// Parses the class from a header; unknown text counts as [`Criticality::Normal`].
     pub fn from_text(text: &str) -> Self {
         match text {
             "critical" => Criticality::Critical,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The class of calls with a rank, of which 0 is served first.
+    /// Returns the class of calls with route rank `rank`, of which 0 is served first.
     pub fn from_rank(rank: u8) -> Self {
         match rank {
             0 => Criticality::Critical,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The class as headers carry it.
+    /// Returns the class as headers carry it.
     pub fn as_str(self) -> &'static str {
         match self {
             Criticality::Critical => "critical",
@@ -72,13 +73,13 @@
 /// Settings of an [`Admission`].
 #[derive(Debug, Clone)]
 pub struct AdmissionConfig {
-    /// Calls that may wait.
+    /// Maximum number of calls that wait for a slot.
     pub queue: usize,
-    /// Longest wait.
+    /// Maximum time that a call waits for a slot.
     pub queue_time: Duration,
-    /// How the limit follows the upstream.
+    /// Algorithm that adapts the concurrency limit to the upstream.
     pub policy: LimitPolicy,
-    /// Shortest time after which a refused caller is asked to come back.
+    /// Minimum delay that a refused caller is told to wait before it retries.
     pub min_retry_after: Duration,
 }
 
@@ -94,73 +95,73 @@
     }
 }
 
-/// A call that asks to run.
+/// Call that requests admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Arrival {
-    /// Distinguishes the calls of one node.
+    /// Identifier of the call, unique on the node.
     pub id: u64,
-    /// Distinguishes callers.
+    /// Hash that distinguishes callers.
     pub caller: u64,
-    /// How much it matters.
+    /// Importance of the call under overload.
     pub class: Criticality,
-    /// When it must have finished.
+    /// Time by which the call must have finished.
     pub deadline: Time,
-    /// Until when its answer is worth most; `None` where only the deadline counts.
+    /// Time after which the answer is worth less; `None` where only the deadline counts.
     pub objective: Option<Time>,
-    /// What kind of work it is: calls of one kind take about as long as each other.
+    /// Hash of the kind of work: calls of one kind take about the same time on the upstream.
     pub work: u64,
 }
 
-/// How a call that ran ended, as far as admission cares.
+/// Outcome of a call that ran, reduced to what adapts the concurrency limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RunEnd {
     /// The upstream answered.
     Answered,
-    /// The upstream refused for load, or took too long.
+    /// The upstream refused because of its load, or took too long.
     Overloaded,
-    /// The caller left, or the upstream broke off.
+    /// The caller left, or the upstream dropped the connection.
     Aborted,
 }
 
-/// What happens to an admission.
+/// Event that changes an admission's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Input {
     /// The upstream announced its capacity.
     Announce {
-        /// Calls that it runs at a time.
+        /// Number of calls that the upstream runs at a time.
         slots: u16,
-        /// Connections that it takes.
+        /// Number of connections that the upstream accepts.
         connections: u16,
     },
-    /// A call asks to run.
+    /// A call requests admission.
     Arrive(Arrival),
-    /// A call that ran ended.
+    /// A running call, given by its identifier, ended.
     Finish(u64, RunEnd),
-    /// A call that waits is given up by its caller.
+    /// The caller abandoned a queued call, given by its identifier.
     Cancel(u64),
-    /// Time passed.
+    /// Time passed; expires queued calls.
     Tick,
-    /// The upstream leaves: nothing more is admitted, what waits is refused.
+    /// The upstream drains: queued and arriving calls are refused.
     Drain,
 }
 
-/// What is to be done with a call.
+/// Decision on a call, given by its identifier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Decision {
-    /// It runs now.
+    /// The call runs now.
     Admit(u64),
-    /// It is refused; it has not run.
+    /// The call is refused; it has not run.
     Refuse {
-        /// The call.
+        /// Identifier of the refused call.
         id: u64,
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// When to come back.
+        /// Delay that the caller is told to wait before it retries.
         retry_after: Duration,
     },
 }
 
-/// Admits calls to one upstream.
+/// Admission control of one upstream.
 #[derive(Debug, Clone)]
 pub struct Admission {
     config: AdmissionConfig,
@@ -168,13 +169,13 @@
     limiter: Limiter,
     running: BTreeMap<u64, (Arrival, Time)>,
     queue: Queue,
-    times: WorkTimes,
-    turned_away: TurnedAway,
+    service_times: ServiceTimes,
+    refused_callers: RefusedCallers,
     draining: bool,
 }
 
 impl Admission {
-    /// An admission that admits nothing until the upstream announces its capacity.
+    /// Creates an admission that refuses every call until the upstream announces its capacity.
     pub fn new(config: AdmissionConfig) -> Self {
         let limiter = Limiter::new(config.policy);
         Self {
@@ -183,13 +184,14 @@
             limiter,
             running: BTreeMap::new(),
             queue: Queue::default(),
-            times: WorkTimes::default(),
-            turned_away: TurnedAway::default(),
+            service_times: ServiceTimes::default(),
+            refused_callers: RefusedCallers::default(),
             draining: false,
         }
     }
 
-    /// Applies `input` at `now`; decisions are in the order in which they are to be carried out.
+    /// Applies `input` at `now`; returns the decisions in the order in which they are to be carried
+    /// out.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Decision> {
         let mut out = Vec::new();
         match input {
@@ -197,24 +199,24 @@
                 self.slots = slots.min(connections);
                 self.limiter.announce(self.slots);
             }
-            Input::Arrive(arrival) => self.arrive(now, arrival, &mut out),
+            Input::Arrive(arrival) => self.handle_arrival(now, arrival, &mut out),
             Input::Finish(id, end) => self.finish(now, id, end),
             Input::Cancel(id) => drop(self.queue.remove(id)),
             Input::Tick => {}
             Input::Drain => self.drain(now, &mut out),
         }
         self.expire(now, &mut out);
-        self.admit_waiting(now, &mut out);
+        self.admit_queued(now, &mut out);
         out
     }
 
-    /// Takes new settings; what is under way keeps its place.
+    /// Applies new limits to later arrivals; running and queued calls are unaffected.
     pub fn configure(&mut self, limits: &Limits) {
         self.config.queue = usize::from(limits.queue);
         self.config.queue_time = limits.queue_time;
     }
 
-    /// The load to report to other nodes.
+    /// Returns the load to report to other nodes.
     pub fn load(&self) -> Load {
         let count = |len: usize| u16::try_from(len).unwrap_or(u16::MAX);
         Load {
@@ -224,22 +226,22 @@
         }
     }
 
-    /// Calls that may run at a time right now.
+    /// Returns the current concurrency limit, in calls.
     pub fn limit(&self) -> u16 {
         self.limiter.limit().min(self.slots)
     }
 
-    /// Whether nothing more is admitted.
+    /// Returns whether the upstream drains, so that every call is refused.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// When the next waiting call has waited long enough; [`Input::Tick`] is due then.
+    /// Returns when the next queued call expires; the caller must then apply [`Input::Tick`].
     pub fn next_tick(&self) -> Option<Time> {
         self.queue.next_expiry()
     }
 
-    fn arrive(&mut self, now: Time, arrival: Arrival, out: &mut Vec<Decision>) {
+    fn handle_arrival(&mut self, now: Time, arrival: Arrival, out: &mut Vec<Decision>) {
         if self.draining {
             return out.push(self.refuse(now, arrival.id, RefusalReason::Draining));
         }
@@ -252,11 +254,11 @@
         if self.has_slot() && self.queue.len() == 0 {
             return self.admit(now, arrival, out);
         }
-        if !self.finishes_in_time(now, &arrival) {
+        if !self.is_expected_in_time(now, &arrival) {
             return out.push(self.refuse(now, arrival.id, RefusalReason::Overloaded));
         }
-        if !self.has_place(arrival.class) {
-            match self.queue.evict_for(&arrival, &self.running_by(arrival.caller)) {
+        if !self.has_queue_space(arrival.class) {
+            match self.queue.evict_for(&arrival, &self.running_calls_of(arrival.caller)) {
                 Some(id) => out.push(self.refuse(now, id, RefusalReason::Overloaded)),
                 None => return out.push(self.refuse(now, arrival.id, RefusalReason::Overloaded)),
             }
@@ -265,42 +267,45 @@
         self.queue.push(Waiting { arrival, expires });
     }
 
-    /// The lowest class may fill half of the queue only.
-    fn has_place(&self, class: Criticality) -> bool {
-        let places = match class {
+    /// Returns whether the queue has space for a call of `class`; sheddable calls may fill only
+    /// half of it.
+    fn has_queue_space(&self, class: Criticality) -> bool {
+        let capacity = match class {
             Criticality::Sheddable => self.config.queue / 2,
             Criticality::Normal | Criticality::Critical => self.config.queue,
         };
-        self.queue.len() < places
+        self.queue.len() < capacity
     }
 
-    fn running_by(&self, caller: u64) -> usize {
+    fn running_calls_of(&self, caller: u64) -> usize {
         self.running.values().filter(|(arrival, _)| arrival.caller == caller).count()
     }
 
-    /// Whether a call can be expected to finish in time behind those that run before it.
-    fn finishes_in_time(&self, now: Time, arrival: &Arrival) -> bool {
-        let Some(service) = self.times.of(arrival.work) else { return true };
-        let wait = self.expected_wait(self.queue.before(arrival));
-        wait.mul_f64(WAIT_MARGIN) <= self.config.queue_time
-            && is_worth_waiting(now, arrival, wait.mul_f64(OVERTAKEN), service)
+    /// Returns whether a call is expected to finish in time behind the calls that run before it.
+    fn is_expected_in_time(&self, now: Time, arrival: &Arrival) -> bool {
+        let Some(service) = self.service_times.of(arrival.work) else { return true };
+        let wait = self.expected_wait(self.queue.ahead_of(arrival));
+        wait.mul_f64(WAIT_SAFETY_FACTOR) <= self.config.queue_time
+            && is_wait_acceptable(now, arrival, wait.mul_f64(OBJECTIVE_WAIT_FACTOR), service)
     }
 
-    /// Slots come free at the rate of `limit` calls per service time.
-    fn expected_wait<'a>(&self, before: impl Iterator<Item = &'a Waiting>) -> Duration {
-        let mean = self.times.mean().unwrap_or_default();
-        let over = self.running.len().saturating_sub(usize::from(self.limit())) + 1;
-        let ahead: Duration =
-            before.map(|waiting| self.times.of(waiting.arrival.work).unwrap_or(mean)).sum();
-        (mean.mul_f64(over as f64) + ahead) / u32::from(self.limit().max(1))
+    /// Estimates the wait behind the calls in `ahead`: slots become free at the rate of `limit`
+    /// calls per service time.
+    fn expected_wait<'a>(&self, ahead: impl Iterator<Item = &'a Waiting>) -> Duration {
+        let mean = self.service_times.mean().unwrap_or_default();
+        let excess = self.running.len().saturating_sub(usize::from(self.limit())) + 1;
+        let queued_time: Duration =
+            ahead.map(|waiting| self.service_times.of(waiting.arrival.work).unwrap_or(mean)).sum();
+        (mean.mul_f64(excess as f64) + queued_time) / u32::from(self.limit().max(1))
     }
 
-    /// Until when a call may wait: while it can meet its objective, and a little longer.
+    /// Returns the latest start of a call that still meets its objective, or [`MAX_LATE_WAIT`] from
+    /// now if that is later, but never so late that it misses the deadline.
     fn latest_start(&self, now: Time, arrival: &Arrival) -> Time {
         let Some(objective) = arrival.objective else { return arrival.deadline };
-        let service = self.times.of(arrival.work).unwrap_or_default();
-        let in_time = before(objective, service).max(now + LATE_WAIT);
-        in_time.min(before(arrival.deadline, service))
+        let service = self.service_times.of(arrival.work).unwrap_or_default();
+        let latest = time_before(objective, service).max(now + MAX_LATE_WAIT);
+        latest.min(time_before(arrival.deadline, service))
     }
 
     fn has_slot(&self) -> bool {
@@ -316,10 +321,10 @@
         let Some((arrival, started)) = self.running.remove(&id) else { return };
         let latency = now.since(started);
         if end == RunEnd::Answered {
-            self.times.learn(arrival.work, latency);
+            self.service_times.record(arrival.work, latency);
         }
-        // The call that just ended was still running when its latency was made.
-        self.limiter.sample(latency, self.running.len() + 1, end);
+        // The ended call was still running while its latency was measured.
+        self.limiter.record_sample(latency, self.running.len() + 1, end);
     }
 
     fn drain(&mut self, now: Time, out: &mut Vec<Decision>) {
@@ -335,10 +340,10 @@
         }
     }
 
-    fn admit_waiting(&mut self, now: Time, out: &mut Vec<Decision>) {
+    fn admit_queued(&mut self, now: Time, out: &mut Vec<Decision>) {
         while self.has_slot() {
-            let Some(waiting) = self.queue.pop_at(now, &self.times) else { return };
-            if self.can_still_finish(now, &waiting.arrival) {
+            let Some(waiting) = self.queue.pop_at(now, &self.service_times) else { return };
+            if self.can_meet_deadline(now, &waiting.arrival) {
                 self.admit(now, waiting.arrival, out);
             } else {
                 out.push(self.refuse(now, waiting.arrival.id, RefusalReason::Overloaded));
@@ -346,35 +351,36 @@
         }
     }
 
-    fn can_still_finish(&self, now: Time, arrival: &Arrival) -> bool {
-        now + self.times.of(arrival.work).unwrap_or_default() <= arrival.deadline
+    fn can_meet_deadline(&self, now: Time, arrival: &Arrival) -> bool {
+        now + self.service_times.of(arrival.work).unwrap_or_default() <= arrival.deadline
     }
 
     fn refuse(&mut self, now: Time, id: u64, reason: RefusalReason) -> Decision {
         let mut wait = self.expected_wait(self.queue.all());
         if reason == RefusalReason::Overloaded {
-            let slot_time = self.times.mean().unwrap_or_default() / u32::from(self.limit().max(1));
-            wait += self.turned_away.turn(now, slot_time);
+            let slot_time =
+                self.service_times.mean().unwrap_or_default() / u32::from(self.limit().max(1));
+            wait += self.refused_callers.enqueue(now, slot_time);
         }
         let retry_after = wait.clamp(self.config.min_retry_after, MAX_RETRY_AFTER);
         Decision::Refuse { id, reason, retry_after }
     }
 }
 
-/// Whether waiting for `wait` and running for `service` is worth it: the objective is met, or the
-/// deadline is and the wait is short.
-fn is_worth_waiting(now: Time, arrival: &Arrival, wait: Duration, service: Duration) -> bool {
+/// Returns whether a call should wait for `wait` before it runs for `service`: it then meets its
+/// objective, or meets its deadline after a wait of at most [`MAX_LATE_WAIT`].
+fn is_wait_acceptable(now: Time, arrival: &Arrival, wait: Duration, service: Duration) -> bool {
     let end = now + wait + service;
     match arrival.objective {
         None => end <= arrival.deadline,
         Some(objective) => {
-            let late = wait <= LATE_WAIT && end <= arrival.deadline;
-            end <= objective.min(arrival.deadline) || late
+            let is_short_wait = wait <= MAX_LATE_WAIT && end <= arrival.deadline;
+            end <= objective.min(arrival.deadline) || is_short_wait
         }
     }
 }
 
-/// The time that is `span` before `at`.
-fn before(at: Time, span: Duration) -> Time {
+/// Returns the time `span` before `at`.
+fn time_before(at: Time, span: Duration) -> Time {
     Time(at.0.saturating_sub(u64::try_from(span.as_micros()).unwrap_or(u64::MAX)))
 }
--- a/crates/sycamore-call/src/admit/queue.rs
+++ b/crates/sycamore-call/src/admit/queue.rs
@@ -1,21 +1,22 @@
-//! The short queue before an upstream.
+//! Bounded queue of calls that wait for a slot of the upstream.
 
-use super::work::WorkTimes;
+use super::work::ServiceTimes;
 use super::Arrival;
 use std::cmp::Reverse;
 use sycamore_types::prelude::*;
 
-/// How many more calls than another a caller may hold before the queue takes one of its places.
-const FAIR_LEAD: usize = 2;
+/// Number of queued calls by which a caller must exceed another one before it loses a place to it.
+const MIN_EVICTION_LEAD: usize = 2;
 
-/// A call that waits.
+/// Queued call and the time at which it is refused.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Waiting {
     pub(super) arrival: Arrival,
     pub(super) expires: Time,
 }
 
-/// Calls that wait, bounded by the admission's settings. It is short, so that scans are cheap.
+/// Queue in no particular order, bounded by the settings of the admission; linear scans are cheap
+/// because it is short.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Queue(Vec<Waiting>);
 
@@ -33,33 +34,38 @@
         Some(self.0.swap_remove(at))
     }
 
-    /// Takes the call that runs next at `now`: of those that can meet their objective, or else of all,
-    /// the first in order.
-    pub(super) fn pop_at(&mut self, now: Time, times: &WorkTimes) -> Option<Waiting> {
-        let reachable = |waiting: &&Waiting| {
-            let service = times.of(waiting.arrival.work).unwrap_or_default();
+    /// Removes the call to run at `now`: the first in priority order among those that can meet
+    /// their objective, or among all if none can.
+    pub(super) fn pop_at(&mut self, now: Time, service_times: &ServiceTimes) -> Option<Waiting> {
+        let meets_objective = |waiting: &&Waiting| {
+            let service = service_times.of(waiting.arrival.work).unwrap_or_default();
             waiting.arrival.objective.is_none_or(|objective| now + service <= objective)
         };
-        let first = self.0.iter().filter(reachable).min_by_key(|w| order(&w.arrival));
+        let first = self
+            .0
+            .iter()
+            .filter(meets_objective)
+            .min_by_key(|waiting| priority_key(&waiting.arrival));
         match first.map(|waiting| waiting.arrival.id) {
             Some(id) => self.remove(id),
             None => self.pop(),
         }
     }
 
-    /// Takes the call that is first in order: highest class, then earliest objective or else deadline.
+    /// Removes the first call in priority order: highest class, then earliest objective or else
+    /// deadline.
     pub(super) fn pop(&mut self) -> Option<Waiting> {
-        let next = self.0.iter().min_by_key(|waiting| order(&waiting.arrival))?.arrival.id;
-        self.remove(next)
+        let first = self.0.iter().min_by_key(|waiting| priority_key(&waiting.arrival))?.arrival.id;
+        self.remove(first)
     }
 
-    /// Calls that would run before `arrival`.
-    pub(super) fn before(&self, arrival: &Arrival) -> impl Iterator<Item = &Waiting> {
-        let own = order(arrival);
-        self.0.iter().filter(move |waiting| order(&waiting.arrival) < own)
+    /// Iterates over the calls that would run before `arrival`.
+    pub(super) fn ahead_of(&self, arrival: &Arrival) -> impl Iterator<Item = &Waiting> {
+        let own_key = priority_key(arrival);
+        self.0.iter().filter(move |waiting| priority_key(&waiting.arrival) < own_key)
     }
 
-    /// All calls that wait.
+    /// Iterates over all queued calls.
     pub(super) fn all(&self) -> impl Iterator<Item = &Waiting> {
         self.0.iter()
     }
@@ -73,33 +79,37 @@
         self.remove(expired).map(|waiting| waiting.arrival.id)
     }
 
-    /// Takes out a call that must make way for `arrival`: one of a lower class, or one of a caller
-    /// that holds clearly more places. `running` counts what the arrival's caller already runs.
+    /// Removes a call to make space for `arrival`: the last one of a lower class, or else one of a
+    /// caller that holds at least [`MIN_EVICTION_LEAD`] more places than the arrival's caller.
+    /// `running` is the number of running calls of the arrival's caller; they count as one place.
     pub(super) fn evict_for(&mut self, arrival: &Arrival, running: &usize) -> Option<u64> {
-        let victim = self.lower_class(arrival).or_else(|| self.greedy_caller(arrival, *running))?;
+        let victim = self
+            .find_lower_class(arrival)
+            .or_else(|| self.find_dominant_caller(arrival, *running))?;
         self.remove(victim).map(|waiting| waiting.arrival.id)
     }
 
-    fn lower_class(&self, arrival: &Arrival) -> Option<u64> {
-        let last = self.0.iter().max_by_key(|waiting| order(&waiting.arrival))?.arrival;
+    fn find_lower_class(&self, arrival: &Arrival) -> Option<u64> {
+        let last = self.0.iter().max_by_key(|waiting| priority_key(&waiting.arrival))?.arrival;
         (last.class < arrival.class).then_some(last.id)
     }
 
-    fn greedy_caller(&self, arrival: &Arrival, running: usize) -> Option<u64> {
-        let of_class = || self.0.iter().filter(|waiting| waiting.arrival.class <= arrival.class);
+    fn find_dominant_caller(&self, arrival: &Arrival, running: usize) -> Option<u64> {
+        let evictable = || self.0.iter().filter(|waiting| waiting.arrival.class <= arrival.class);
         let held =
             |caller: u64| self.0.iter().filter(|waiting| waiting.arrival.caller == caller).count();
-        let greedy = of_class().max_by_key(|waiting| held(waiting.arrival.caller))?.arrival.caller;
-        if held(greedy) < held(arrival.caller) + running.min(1) + FAIR_LEAD {
+        let dominant =
+            evictable().max_by_key(|waiting| held(waiting.arrival.caller))?.arrival.caller;
+        if held(dominant) < held(arrival.caller) + running.min(1) + MIN_EVICTION_LEAD {
             return None;
         }
-        let last = of_class()
-            .filter(|waiting| waiting.arrival.caller == greedy)
-            .max_by_key(|waiting| order(&waiting.arrival))?;
+        let last = evictable()
+            .filter(|waiting| waiting.arrival.caller == dominant)
+            .max_by_key(|waiting| priority_key(&waiting.arrival))?;
         Some(last.arrival.id)
     }
 }
 
-fn order(arrival: &Arrival) -> (Reverse<super::Criticality>, Time, u64) {
+fn priority_key(arrival: &Arrival) -> (Reverse<super::Criticality>, Time, u64) {
     (Reverse(arrival.class), arrival.objective.unwrap_or(arrival.deadline), arrival.id)
 }
--- a/crates/sycamore-call/src/admit/turned_away.rs
+++ b/crates/sycamore-call/src/admit/turned_away.rs
@@ -1,28 +1,34 @@
-//! Callers that were turned away and will come back: each is told a time by which those turned away
-//! before it can have had their turn, so that they don't all come back into the same full queue.
+//! Estimated backlog of refused callers that will retry. Each refused caller is told a retry delay
+//! behind those refused before it, so that they don't all retry into the same full queue.
 
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// Longest time until a turn: callers of seconds leave rather than wait for longer.
-const MAX_TURN: Duration = Duration::from_secs(1);
+/// Maximum retry delay that the backlog adds; callers whose patience is seconds give up rather than
+/// wait longer.
+const MAX_BACKLOG_DELAY: Duration = Duration::from_secs(1);
 
-/// A line of callers that wait elsewhere; it moves at the pace at which slots come free.
+/// Virtual queue of refused callers; it shrinks at the rate at which slots become free.
 #[derive(Debug, Clone, Default)]
-pub(super) struct TurnedAway {
+pub(super) struct RefusedCallers {
     callers: f64,
-    at: Time,
+    updated: Time,
 }
 
-impl TurnedAway {
-    /// Adds a caller; gives the time until its turn where a slot comes free every `slot_time`.
-    pub(super) fn turn(&mut self, now: Time, slot_time: Duration) -> Duration {
-        let passed = now.since(self.at).as_secs_f64();
-        let pace = slot_time.as_secs_f64();
-        let served = if pace > 0.0 { passed / pace } else { self.callers };
-        let most = if pace > 0.0 { MAX_TURN.as_secs_f64() / pace } else { f64::INFINITY };
-        self.callers = ((self.callers - served).max(0.0) + 1.0).min(most);
-        self.at = now;
+impl RefusedCallers {
+    /// Adds a refused caller; returns the time until its turn when a slot becomes free every
+    /// `slot_time`.
+    pub(super) fn enqueue(&mut self, now: Time, slot_time: Duration) -> Duration {
+        let elapsed = now.since(self.updated).as_secs_f64();
+        let slot_secs = slot_time.as_secs_f64();
+        let served = if slot_secs > 0.0 { elapsed / slot_secs } else { self.callers };
+        let max_callers = if slot_secs > 0.0 {
+            MAX_BACKLOG_DELAY.as_secs_f64() / slot_secs
+        } else {
+            f64::INFINITY
+        };
+        self.callers = ((self.callers - served).max(0.0) + 1.0).min(max_callers);
+        self.updated = now;
         slot_time.mul_f64(self.callers)
     }
 }
--- a/crates/sycamore-call/tests/decisions/admit.rs
+++ b/crates/sycamore-call/tests/decisions/admit.rs
@@ -1,4 +1,4 @@
-//! Admission beside an upstream.
+//! Tests of the admission control at an upstream.
 
 use super::common::at;
 use quickcheck::quickcheck;
@@ -33,22 +33,25 @@
     ids.collect()
 }
 
+/// Guards against admitting calls while the upstream is unknown, which would fail at its address.
 #[test]
-fn nothing_is_admitted_before_the_upstream_announces_itself() {
+fn calls_are_refused_until_the_upstream_announces_its_capacity() {
     let mut admission = Admission::new(AdmissionConfig::default());
     let decisions = admission.step(at(1), Input::Arrive(call(1, 1_000)));
     assert_eq!(refused(1, &decisions), Some(RefusalReason::NoUpstream));
 }
 
+/// Guards against running more calls than the upstream accepts connections.
 #[test]
-fn connections_bound_as_slots_do() {
+fn the_limit_is_the_smaller_of_slots_and_connections() {
     let mut admission = Admission::new(AdmissionConfig::default());
     admission.step(at(0), Input::Announce { slots: 12, connections: 5 });
     assert_eq!(admission.limit(), 5);
 }
 
+/// Guards against serving the queue in order of arrival while a later call is more urgent.
 #[test]
-fn the_earliest_deadline_runs_next() {
+fn a_free_slot_goes_to_the_call_with_the_earliest_deadline() {
     let mut admission = admission(1, 8);
     admission.step(at(0), Input::Arrive(call(1, 1_000)));
     for (id, deadline) in [(2, 900), (3, 700), (4, 800)] {
@@ -58,8 +61,10 @@
     assert_eq!(admitted(&decisions), [3]);
 }
 
+/// Guards against queueing a call that the known service time makes too late, and against refusing
+/// one that still has time.
 #[test]
-fn what_cannot_finish_in_time_is_refused_at_once() {
+fn calls_that_cannot_meet_their_deadline_are_refused_on_arrival() {
     let mut admission = admission(1, 8);
     admission.step(at(0), Input::Arrive(call(1, 1_000)));
     admission.step(at(100), Input::Finish(1, RunEnd::Answered));
@@ -72,8 +77,9 @@
     assert_eq!(refused(5, &decisions), Some(RefusalReason::Deadline));
 }
 
+/// Guards against a call that stays queued longer than `queue_time` because no slot becomes free.
 #[test]
-fn a_wait_ends_at_its_bound() {
+fn a_queued_call_is_refused_after_the_maximum_wait() {
     let mut admission = admission(1, 8);
     admission.step(at(0), Input::Arrive(call(1, 9_000)));
     admission.step(at(0), Input::Arrive(call(2, 9_000)));
@@ -82,8 +88,9 @@
     assert_eq!(refused(2, &decisions), Some(RefusalReason::Overloaded));
 }
 
+/// Guards against sheddable calls that fill the queue and keep out critical ones.
 #[test]
-fn lower_classes_make_way() {
+fn a_full_queue_evicts_a_call_of_a_lower_class() {
     let mut admission = admission(1, 2);
     admission.step(at(0), Input::Arrive(call(1, 9_000)));
     let with = |id, class| Input::Arrive(Arrival { class, ..call(id, 9_000) });
@@ -97,8 +104,9 @@
     assert_eq!(admitted(&decisions), [5]);
 }
 
+/// Guards against one caller that takes every place in the queue and keeps out the others.
 #[test]
-fn a_caller_that_fills_the_queue_makes_way_for_another() {
+fn a_full_queue_evicts_a_call_of_the_caller_with_the_most_places() {
     let mut admission = admission(1, 4);
     let by = |id, caller| Input::Arrive(Arrival { caller, ..call(id, 9_000) });
     for id in 1..=5 {
@@ -111,8 +119,9 @@
     assert_eq!(decisions.len(), 1, "one of the others was refused: {decisions:?}");
 }
 
+/// Guards against a drain that leaves queued calls waiting, admits new ones or drops running ones.
 #[test]
-fn a_drain_refuses_what_waits_and_what_comes() {
+fn a_drain_refuses_queued_and_new_calls() {
     let mut admission = admission(1, 4);
     admission.step(at(0), Input::Arrive(call(1, 9_000)));
     admission.step(at(0), Input::Arrive(call(2, 9_000)));
@@ -123,8 +132,9 @@
     assert_eq!(admission.load().running, 1, "what runs goes on");
 }
 
+/// Guards against a limit that ignores refusals of the upstream, or stays low after they stop.
 #[test]
-fn the_limit_falls_while_the_upstream_refuses_and_comes_back() {
+fn the_limit_falls_under_overload_and_recovers() {
     let mut admission = admission(10, 4);
     let mut id = 0;
     let mut round = |admission: &mut Admission, now: u64, end| {
@@ -139,7 +149,7 @@
     }
     let low = admission.limit();
     assert!((1..=4).contains(&low), "{low}");
-    // Growth needs calls at the limit.
+    // The limit only grows while calls run at it.
     for now in 100..400 {
         let ids: Vec<u64> = (0..10).map(|i| now * 100 + i).collect();
         for id in &ids {
@@ -152,7 +162,7 @@
     assert_eq!(admission.limit(), 10);
 }
 
-/// Some input, by number.
+/// Maps two numbers to an input, for property tests.
 fn input(step: (u8, u8)) -> Input {
     let id = u64::from(step.1 % 16);
     match step.0 % 6 {
@@ -173,7 +183,9 @@
 }
 
 quickcheck! {
-    fn slots_and_queue_are_never_overrun_and_each_call_is_decided_once(
+    // Guards against any sequence of inputs that overruns the slots or the queue, or lowers the
+    // limit to zero.
+    fn running_and_queued_calls_never_exceed_their_bounds(
         steps: Vec<(u8, u8)>,
         gradient: bool
     ) -> bool {
--- a/crates/sycamore-call/tests/decisions/limit.rs
+++ b/crates/sycamore-call/tests/decisions/limit.rs
@@ -1,5 +1,5 @@
-//! The limit policies against each other, on faked time: goodput at twice the capacity of upstreams
-//! that declare more slots than serve them well.
+//! Tests that compare the limit policies in simulated time: goodput at twice the capacity of
+//! upstreams that declare more slots than they can serve well.
 
 use super::common::ms;
 use rand::rngs::SmallRng;
@@ -14,20 +14,20 @@
 const SECONDS: u64 = 40;
 const POLICIES: [LimitPolicy; 3] = [LimitPolicy::Fixed, LimitPolicy::Aimd, LimitPolicy::Gradient];
 
-/// How an upstream's calls take longer.
+/// Cause for which calls on the simulated upstream slow down or fail.
 #[derive(Debug, Clone, Copy)]
 enum Slowness {
-    /// Above six at a time they hinder each other.
+    /// More than six concurrent calls slow each other down.
     Contended,
-    /// Above six at a time it refuses.
+    /// The upstream refuses calls beyond six concurrent ones.
     Sheds,
-    /// Something behind it is slow, however many run.
+    /// A dependency of the upstream is slow, whatever the concurrency.
     Behind,
 }
 
 impl Slowness {
-    /// Time of a call in microseconds that starts while `running` run, itself included; `None`
-    /// where it is refused.
+    /// Returns the service time in microseconds of a call that starts as one of `running`; `None`
+    /// where the upstream refuses it.
     fn time_us(self, running: usize) -> Option<u64> {
         let over = running as f64 / 6.0;
         match self {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Calls a second at best.
+    /// Returns the maximum throughput, in calls per second.
     fn capacity(self) -> f64 {
         match self {
             Slowness::Contended | Slowness::Sheds => 300.0,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Calls that succeeded in time, as a share of the capacity.
+/// Returns the rate of calls that succeeded in time, as a fraction of the capacity.
 fn goodput(policy: LimitPolicy, slowness: Slowness) -> f64 {
     let mut rng = SmallRng::seed_from_u64(5);
     let mut admission = Admission::new(AdmissionConfig { policy, ..Default::default() });
@@ -100,8 +100,10 @@
     done as f64 / (slowness.capacity() * SECONDS as f64)
 }
 
+/// Guards against a default policy whose goodput falls behind another one when calls contend, the
+/// upstream sheds, or a dependency is slow.
 #[test]
-fn the_policy_in_force_is_no_worse_than_the_others() {
+fn the_default_policy_has_the_highest_goodput() {
     for slowness in [Slowness::Contended, Slowness::Sheds, Slowness::Behind] {
         let figures = POLICIES.map(|policy| goodput(policy, slowness));
         let [fixed, aimd, gradient] = figures;
--- a/crates/sycamore-call/tests/decisions/load/mod.rs
+++ b/crates/sycamore-call/tests/decisions/load/mod.rs
@@ -1,4 +1,4 @@
-//! Loads that the decisions answer, each under the name of its pattern, on faked time.
+//! Load patterns that the decision logic must handle, one module each, in simulated time.
 
 mod demand_above_slots;
 mod heavy_calls_across_data_centres;
--- a/crates/sycamore-call/tests/decisions/load/thundering_return.rs
+++ b/crates/sycamore-call/tests/decisions/load/thundering_return.rs
@@ -1,5 +1,5 @@
-//! Callers that are refused together and come back together: the times that they are told must spread
-//! them over what the slots can take.
+//! Tests of synchronised retries: callers that are refused together must be told retry delays that
+//! spread their return over the rate at which slots become free.
 
 use crate::common::at;
 use std::time::Duration;
@@ -19,8 +19,9 @@
     })
 }
 
-/// Times to come back that a burst of `count` callers is told by an upstream of 100 ms a call.
-fn told(count: u64) -> Vec<Duration> {
+/// Returns the retry delays that a burst of `count` callers gets from an upstream with a service
+/// time of 100 ms.
+fn retry_delays(count: u64) -> Vec<Duration> {
     let mut admission = Admission::new(AdmissionConfig {
         policy: LimitPolicy::Fixed,
         min_retry_after: Duration::from_millis(50),
@@ -41,19 +42,22 @@
         .collect()
 }
 
+/// Guards against telling more callers to retry within 100 ms than slots become free in that time.
 #[test]
-fn no_more_are_told_to_come_within_any_tenth_of_a_second_than_slots_come_free() {
-    let told = told(100);
-    assert!(told.len() > 60, "{}", told.len());
+fn retry_delays_spread_callers_at_the_service_rate() {
+    let delays = retry_delays(100);
+    assert!(delays.len() > 60, "{}", delays.len());
     for from in 0..20 {
         let span = Duration::from_millis(from * 50)..Duration::from_millis(from * 50 + 100);
-        let count = told.iter().filter(|after| span.contains(after)).count() as u64;
-        assert!(count <= SLOTS + 1, "{count} from {span:?}: {told:?}");
+        let count = delays.iter().filter(|delay| span.contains(delay)).count() as u64;
+        assert!(count <= SLOTS + 1, "{count} from {span:?}: {delays:?}");
     }
 }
 
+/// Guards against retry delays that grow with the number of refused callers beyond the time that
+/// callers wait.
 #[test]
-fn nobody_is_told_to_come_after_the_callers_patience() {
-    let longest = told(2_000).into_iter().max().unwrap();
+fn retry_delays_stay_below_the_callers_patience() {
+    let longest = retry_delays(2_000).into_iter().max().unwrap();
     assert!(longest <= Duration::from_millis(1_500), "{longest:?}");
 }
--- a/crates/sycamore-call/tests/decisions/scenario.rs
+++ b/crates/sycamore-call/tests/decisions/scenario.rs
@@ -1,14 +1,15 @@
-//! Scenarios: text files that tell what happens to an upstream's admission, step by step.
+//! Runner of scenario files, which script the events at an upstream's admission and expect its
+//! decisions.
 
 use crate::common::at;
 use sycamore_call::admit::{Input, RunEnd};
 use sycamore_call::{Admission, AdmissionConfig, Arrival, Criticality, Decision};
 
-fn number(case: &datadriven::TestCase, name: &str) -> u64 {
+fn number_arg(case: &datadriven::TestCase, name: &str) -> u64 {
     case.args[name][0].parse().unwrap()
 }
 
-fn told(decisions: &[Decision]) -> String {
+fn format_decisions(decisions: &[Decision]) -> String {
     let lines = decisions.iter().map(|decision| match decision {
         Decision::Admit(id) => format!("call {id} runs\n"),
         Decision::Refuse { id, reason, retry_after } => {
@@ -22,36 +23,37 @@
     text
 }
 
+/// Guards against admission decisions that differ from those recorded in the scenario files.
 #[test]
-fn scenarios() {
+fn admission_scenarios() {
     datadriven::walk("tests/decisions/scenarios", |f| {
         let mut admission = Admission::new(AdmissionConfig { queue: 2, ..Default::default() });
         f.run(|case| {
-            let now = at(number(case, "at"));
+            let now = at(number_arg(case, "at"));
             let input = match case.directive.as_str() {
                 "announce" => Input::Announce {
-                    slots: u16::try_from(number(case, "slots")).unwrap(),
+                    slots: u16::try_from(number_arg(case, "slots")).unwrap(),
                     connections: 120,
                 },
                 "call" => Input::Arrive(Arrival {
-                    id: number(case, "id"),
+                    id: number_arg(case, "id"),
                     caller: case.args.get("caller").map_or(0, |c| c[0].parse().unwrap()),
                     class: case
                         .args
                         .get("class")
                         .map_or(Criticality::Normal, |class| Criticality::from_text(&class[0])),
-                    deadline: at(number(case, "deadline")),
+                    deadline: at(number_arg(case, "deadline")),
                     objective: None,
                     work: 0,
                 }),
-                "answer" => Input::Finish(number(case, "id"), RunEnd::Answered),
-                "leave" => Input::Cancel(number(case, "id")),
+                "answer" => Input::Finish(number_arg(case, "id"), RunEnd::Answered),
+                "leave" => Input::Cancel(number_arg(case, "id")),
                 "time" => Input::Tick,
                 "drain" => Input::Drain,
                 other => panic!("unknown directive {other}"),
             };
             let decisions = admission.step(now, input);
-            told(&decisions) + &format!("load {}\n", admission.load())
+            format_decisions(&decisions) + &format!("load {}\n", admission.load())
         });
     });
 }
