--- a/crates/sycamore-call/src/route/mod.rs
+++ b/crates/sycamore-call/src/route/mod.rs
@@ -1,5 +1,5 @@
-//! Which upstream a call goes to: version by share, near data centre first, then the less loaded of
-//! two random choices (Mitzenmacher, "The Power of Two Choices", 2001).
+//! Load balancing: selects a version by traffic share, prefers near data centres, and takes the
+//! less loaded of two random instances (Mitzenmacher, "The Power of Two Choices", 2001).
 
 mod peer;
 mod unproven;
@@ -19,28 +19,29 @@
 /// Settings of a [`Router`].
 #[derive(Debug, Clone)]
 pub struct RouterConfig {
-    /// Time over which an instance that is new here comes to its full weight.
+    /// Time over which the weight of an instance that is new to this router grows to 1.
     pub slow_start: Duration,
-    /// Failures in a row that eject an instance.
+    /// Number of consecutive failures after which an instance is ejected.
     pub eject_failures: u32,
-    /// Length of a first ejection; each further one doubles it.
+    /// Duration of an instance's first ejection; each further one doubles it.
     pub eject_time: Duration,
-    /// Longest ejection.
+    /// Maximum duration of an ejection.
     pub eject_time_max: Duration,
-    /// Largest part of a service's instances that may be ejected at a time.
-    pub eject_part: f64,
-    /// Utilisation of a near instance from which a small call looks farther away.
-    pub spill: f64,
-    /// The same for a call of [`RouterConfig::heavy_bytes`] or more, whose way is dear.
-    pub heavy_spill: f64,
-    /// How much less utilised a farther instance must be for a small call to go there.
-    pub spill_gain: f64,
-    /// The same for a heavy call.
-    pub heavy_gain: f64,
-    /// Body of a heavy call, in bytes.
+    /// Maximum fraction of a service's instances that may be ejected at a time, 0.0 to 1.0.
+    pub max_ejected_fraction: f64,
+    /// Utilisation of a near instance from which an empty call considers instances farther away.
+    pub spill_utilisation: f64,
+    /// Utilisation of a near instance from which a call of [`RouterConfig::heavy_bytes`] or more
+    /// considers instances farther away; sending a large body far is expensive.
+    pub heavy_spill_utilisation: f64,
+    /// Minimum difference in utilisation for which an empty call goes to an instance farther away.
+    pub spill_min_gain: f64,
+    /// Minimum difference in utilisation for which a heavy call goes to an instance farther away.
+    pub heavy_spill_min_gain: f64,
+    /// Size of a heavy call's body, in bytes; thresholds of smaller calls are interpolated.
     pub heavy_bytes: u64,
-    /// Age after which a reported load says nothing.
-    pub load_age: Duration,
+    /// Age after which a reported load is ignored.
+    pub max_load_age: Duration,
 }
 
 impl Default for RouterConfig {
@@ -50,67 +51,67 @@
             eject_failures: 3,
             eject_time: Duration::from_secs(2),
             eject_time_max: Duration::from_secs(30),
-            eject_part: 0.5,
-            spill: 1.0,
-            heavy_spill: 1.8,
-            spill_gain: 0.2,
-            heavy_gain: 0.8,
+            max_ejected_fraction: 0.5,
+            spill_utilisation: 1.0,
+            heavy_spill_utilisation: 1.8,
+            spill_min_gain: 0.2,
+            heavy_spill_min_gain: 0.8,
             heavy_bytes: 4 << 10,
-            load_age: Duration::from_secs(1),
+            max_load_age: Duration::from_secs(1),
         }
     }
 }
 
-/// What a call asks of the router.
+/// Request for an instance: the call's properties and the state that applies to it.
 #[derive(Debug, Clone, Copy)]
 pub struct Pick<'a> {
-    /// The service meant.
+    /// Service that is called.
     pub service: &'a ServiceName,
-    /// The members known.
+    /// Members known to this node.
     pub view: &'a MemberView,
-    /// The shares in force.
+    /// Traffic shares in force.
     pub shares: &'a ShareTable,
-    /// Versions that get nothing.
+    /// Versions that get no calls.
     pub bans: &'a VersionBans,
     /// Instances already tried for this call.
     pub tried: &'a [InstanceId],
-    /// The data centre of this node.
+    /// Data centre of this node.
     pub data_centre: &'a DataCentre,
-    /// The region of this node.
+    /// Region of this node.
     pub region: &'a Region,
-    /// Bytes of the call's body; `None` where it is not known, which counts as heavy.
+    /// Size of the call's body, in bytes; `None` where it is unknown, which counts as heavy.
     pub bytes: Option<u64>,
 }
 
-/// An instance chosen for an attempt.
+/// Instance chosen for an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Choice {
-    /// The instance.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// The version of its upstream.
+    /// Version of the instance's upstream.
     pub version: UpstreamVersion,
-    /// Where its node takes relayed calls.
+    /// Address at which the instance's node accepts relayed calls.
     pub relay: SocketAddr,
-    /// The share of the version that the choice went by.
+    /// Traffic share of the version at the time of the choice.
     pub share: Share,
 }
 
-/// How an attempt ended, as far as routing cares.
+/// Outcome of an attempt, reduced to what routing depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The instance's node answered, and gave its load.
+    /// The instance's node answered and reported its load.
     Answered(Load),
-    /// The instance's node is leaving.
+    /// The instance's node is draining.
     Draining,
-    /// The instance can't be reached, or its node says that it has no upstream.
+    /// The instance is unreachable, or its node reported that it has no upstream.
     NoUpstream,
-    /// The instance broke off or took too long.
+    /// The instance dropped the connection or took too long.
     Failed,
-    /// Nothing was learnt: the caller left.
+    /// The caller left, so that nothing is known about the instance.
     Cancelled,
 }
 
-/// Chooses upstreams for calls.
+/// Load balancer that chooses instances for calls.
 #[derive(Debug, Clone)]
 pub struct Router {
     config: RouterConfig,
@@ -119,19 +120,20 @@
 }
 
 impl Router {
-    /// A router that draws its random choices from `seed`.
+    /// Creates a router whose random choices are seeded with `seed`.
     pub fn new(config: RouterConfig, seed: u64) -> Self {
         Self { config, peers: BTreeMap::new(), rng: SmallRng::seed_from_u64(seed) }
     }
 
-    /// Takes a new view: forgets the instances that left and starts the new ones slowly.
+    /// Applies a new member view: drops instances that left and begins the slow start of new ones.
     pub fn update(&mut self, now: Time, view: &MemberView) {
         self.peers.retain(|instance, _| view.members.contains_key(instance));
-        let cold_start = self.peers.is_empty();
+        let is_first_view = self.peers.is_empty();
         for member in view.members.values() {
             let peer = self.peers.entry(member.instance.clone()).or_insert_with(|| {
-                // A router that knows nobody must not treat the whole fleet as cold.
-                Peer::new(member, if cold_start { None } else { Some(now) })
+                // A router without any peers has just started and must not treat the whole fleet as
+                // cold.
+                Peer::new(member, if is_first_view { None } else { Some(now) })
             });
             if peer.incarnation != member.incarnation {
                 *peer = Peer::new(member, Some(now));
@@ -139,20 +141,20 @@
         }
     }
 
-    /// Chooses the instance for one attempt and counts it as under way there; `None` where no
-    /// instance may take it.
+    /// Chooses the instance for one attempt and counts the attempt as in flight there; `None` where
+    /// no instance may take it.
     pub fn pick(&mut self, now: Time, pick: &Pick<'_>) -> Option<Choice> {
         let candidates = self.candidates(now, pick);
-        let (version, share) = version::choose(&mut self.rng, pick, &candidates)?;
+        let (version, share) = version::choose_version(&mut self.rng, pick, &candidates)?;
         let (of_version, others): (Vec<&Member>, Vec<&Member>) =
             candidates.into_iter().partition(|member| member.version == version);
         let concentrated = match unproven::is_unproven(pick, &version) {
-            true => self.concentrated(now, &of_version, &others),
+            true => self.pick_concentrated(now, &of_version, &others),
             false => None,
         };
         let chosen = match concentrated {
             Some(member) => member,
-            None => self.by_distance(now, pick, &of_version)?,
+            None => self.pick_by_distance(now, pick, &of_version)?,
         };
         let choice = Choice {
             instance: chosen.instance.clone(),
@@ -161,19 +163,19 @@
             share,
         };
         let peer = self.peers.entry(choice.instance.clone());
-        peer.or_insert_with(|| Peer::new(chosen, None)).under_way += 1;
+        peer.or_insert_with(|| Peer::new(chosen, None)).in_flight += 1;
         Some(choice)
     }
 
-    /// Records how an attempt at `instance` ended.
+    /// Records the outcome of an attempt at `instance`.
     pub fn ended(&mut self, now: Time, instance: &InstanceId, end: AttemptEnd) {
         if let Some(peer) = self.peers.get_mut(instance) {
-            peer.ended(now, end, &self.config);
+            peer.record_end(now, end, &self.config);
         }
     }
 
-    /// Whether some instance of `service` other than those `tried` is not known to be full, leaving
-    /// or ejected.
+    /// Returns whether some instance of `service` that is not in `tried` is not known to be full,
+    /// draining or ejected.
     pub fn has_room(
         &self,
         now: Time,
@@ -190,7 +192,8 @@
         })
     }
 
-    /// Members that may take the call, without ejected ones unless too many are ejected.
+    /// Returns the members that may take the call: untried, not banned, not draining and not
+    /// ejected. Ejected ones are included where no other is left.
     fn candidates<'a>(&self, now: Time, pick: &Pick<'a>) -> Vec<&'a Member> {
         let serving: Vec<&'a Member> = pick
             .view
@@ -201,31 +204,33 @@
             .filter(|member| !pick.bans.contains(&member.service, &member.version))
             .filter(|member| !self.is_draining(now, &member.instance))
             .collect();
-        let untried = |member: &&Member| !pick.tried.contains(&member.instance);
-        let kept = self.without_ejected(now, &serving);
-        let fresh: Vec<&Member> = kept.into_iter().filter(untried).collect();
-        if fresh.is_empty() {
-            return serving.into_iter().filter(untried).collect();
+        let is_untried = |member: &&Member| !pick.tried.contains(&member.instance);
+        let not_ejected = self.without_ejected(now, &serving);
+        let untried_members: Vec<&Member> = not_ejected.into_iter().filter(is_untried).collect();
+        if untried_members.is_empty() {
+            return serving.into_iter().filter(is_untried).collect();
         }
-        fresh
+        untried_members
     }
 
     fn is_draining(&self, now: Time, instance: &InstanceId) -> bool {
         self.peers.get(instance).is_some_and(|peer| peer.is_draining(now))
     }
 
-    /// Leaves out ejected members, the longest ejected first, down to the floor.
+    /// Removes ejected members, those with the latest end of ejection first, up to the maximum
+    /// fraction.
     fn without_ejected<'a>(&self, now: Time, serving: &[&'a Member]) -> Vec<&'a Member> {
         let ejected_until = |member: &Member| {
             self.peers.get(&member.instance).and_then(|peer| peer.ejected_until(now))
         };
-        let most = (serving.len() as f64 * self.config.eject_part).floor() as usize;
+        let max_ejected =
+            (serving.len() as f64 * self.config.max_ejected_fraction).floor() as usize;
         let mut ejected: Vec<(Time, &InstanceId)> = serving
             .iter()
             .filter_map(|member| ejected_until(member).map(|until| (until, &member.instance)))
             .collect();
         ejected.sort_by(|a, b| b.cmp(a));
-        ejected.truncate(most);
+        ejected.truncate(max_ejected);
         serving
             .iter()
             .copied()
@@ -233,67 +238,76 @@
             .collect()
     }
 
-    /// A member of the nearest ring (this data centre, this region, elsewhere), unless it is so
-    /// loaded, and one farther away so much less, that the way there is worth it.
-    fn by_distance<'a>(
+    /// Chooses a member of the nearest tier that has any, or one of a farther tier where the near
+    /// one is utilised beyond the spill threshold and the farther one sufficiently less.
+    fn pick_by_distance<'a>(
         &mut self,
         now: Time,
         pick: &Pick<'_>,
         members: &[&'a Member],
     ) -> Option<&'a Member> {
-        let (spill, gain) = self.spill_for(pick.bytes);
+        let (spill_threshold, min_gain) = self.spill_thresholds(pick.bytes);
         let mut chosen: Option<(&'a Member, f64)> = None;
-        for ring in rings(pick, members) {
-            if chosen.is_some_and(|(_, load)| load < spill) {
+        for tier in tiers(pick, members) {
+            if chosen.is_some_and(|(_, load)| load < spill_threshold) {
                 break;
             }
-            let Some(member) = self.less_loaded(now, &ring) else { continue };
-            let load = self.score(now, &member.instance);
-            if chosen.is_none_or(|(_, near)| load + gain < near) {
+            let Some(member) = self.pick_less_utilised(now, &tier) else { continue };
+            let load = self.utilisation(now, &member.instance);
+            if chosen.is_none_or(|(_, near_load)| load + min_gain < near_load) {
                 chosen = Some((member, load));
             }
         }
         chosen.map(|(member, _)| member)
     }
 
-    /// Utilisation from which a call of `bytes` looks farther away, and what it must gain there.
-    fn spill_for(&self, bytes: Option<u64>) -> (f64, f64) {
+    /// Returns the spill threshold and the minimum gain of a call of `bytes`, both as utilisation.
+    fn spill_thresholds(&self, bytes: Option<u64>) -> (f64, f64) {
         let config = &self.config;
         let heavy = config.heavy_bytes.max(1);
         let weight = bytes.unwrap_or(heavy).min(heavy) as f64 / heavy as f64;
-        let between = |small: f64, large: f64| small + (large - small) * weight;
-        (between(config.spill, config.heavy_spill), between(config.spill_gain, config.heavy_gain))
+        let interpolate = |small: f64, large: f64| small + (large - small) * weight;
+        (
+            interpolate(config.spill_utilisation, config.heavy_spill_utilisation),
+            interpolate(config.spill_min_gain, config.heavy_spill_min_gain),
+        )
     }
 
-    /// The less loaded of two members, drawn by weight.
-    fn less_loaded<'a>(&mut self, now: Time, members: &[&'a Member]) -> Option<&'a Member> {
-        let first = self.draw(now, members, None)?;
-        let Some(second) = self.draw(now, members, Some(first)) else {
+    /// Draws two members by weight and returns the less utilised one.
+    fn pick_less_utilised<'a>(&mut self, now: Time, members: &[&'a Member]) -> Option<&'a Member> {
+        let first = self.draw_weighted(now, members, None)?;
+        let Some(second) = self.draw_weighted(now, members, Some(first)) else {
             return Some(members[first]);
         };
         let (a, b) = (members[first], members[second]);
-        let nearer = self.score(now, &a.instance) <= self.score(now, &b.instance);
-        Some(if nearer { a } else { b })
+        let a_is_less_utilised =
+            self.utilisation(now, &a.instance) <= self.utilisation(now, &b.instance);
+        Some(if a_is_less_utilised { a } else { b })
     }
 
-    /// Draws a member other than `besides`; a cold one is drawn less often.
-    fn draw(&mut self, now: Time, members: &[&Member], besides: Option<usize>) -> Option<usize> {
+    /// Draws a member other than `excluded` at random; instances in slow start have a lower weight.
+    fn draw_weighted(
+        &mut self,
+        now: Time,
+        members: &[&Member],
+        excluded: Option<usize>,
+    ) -> Option<usize> {
         let weights: Vec<f64> = (0..members.len())
-            .map(|i| match besides {
+            .map(|i| match excluded {
                 Some(drawn) if drawn == i => 0.0,
                 _ => self.weight(now, &members[i].instance),
             })
             .collect();
-        let sum: f64 = weights.iter().sum();
-        if sum <= 0.0 {
+        let total: f64 = weights.iter().sum();
+        if total <= 0.0 {
             return None;
         }
-        let mut at = self.rng.random_range(0.0..sum);
+        let mut remaining = self.rng.random_range(0.0..total);
         let drawn = weights.iter().position(|weight| {
-            at -= weight;
-            at < 0.0
+            remaining -= weight;
+            remaining < 0.0
         });
-        // Rounding may leave a rest after the last.
+        // Rounding errors may leave a remainder after the last weight.
         drawn.or_else(|| weights.iter().rposition(|weight| *weight > 0.0))
     }
 
@@ -301,21 +315,21 @@
         self.peers.get(instance).map_or(1.0, |peer| peer.weight(now, &self.config))
     }
 
-    fn score(&self, now: Time, instance: &InstanceId) -> f64 {
+    fn utilisation(&self, now: Time, instance: &InstanceId) -> f64 {
         self.peers.get(instance).map_or(0.0, |peer| peer.utilisation(now, &self.config))
     }
 }
 
-/// Members of this data centre, the others of this region, and those elsewhere.
-fn rings<'a>(pick: &Pick<'_>, members: &[&'a Member]) -> [Vec<&'a Member>; 3] {
-    let mut rings = [Vec::new(), Vec::new(), Vec::new()];
+/// Groups members by distance: this data centre, the rest of this region, all others.
+fn tiers<'a>(pick: &Pick<'_>, members: &[&'a Member]) -> [Vec<&'a Member>; 3] {
+    let mut tiers = [Vec::new(), Vec::new(), Vec::new()];
     for member in members {
         let distance = match () {
             () if member.data_centre == *pick.data_centre => 0,
             () if member.region == *pick.region => 1,
             () => 2,
         };
-        rings[distance].push(*member);
+        tiers[distance].push(*member);
     }
-    rings
+    tiers
 }
--- a/crates/sycamore-call/src/route/peer.rs
+++ b/crates/sycamore-call/src/route/peer.rs
@@ -1,109 +1,112 @@
-//! What the router knows of one instance.
+//! Router's record of one instance: load, failures and slow start.
 
 use super::{AttemptEnd, RouterConfig};
 use crate::load::Load;
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// Time for which an instance that said it is draining gets nothing, unless the view changes first.
-const DRAINING_TIME: Duration = Duration::from_secs(10);
-/// Least weight of a cold instance.
-const COLD_WEIGHT: f64 = 0.1;
-/// Most doublings of an ejection's length.
+/// Time for which an instance that reported draining gets no calls, unless it leaves or restarts
+/// first.
+const DRAINING_HOLD: Duration = Duration::from_secs(10);
+/// Minimum weight of an instance in slow start.
+const MIN_SLOW_START_WEIGHT: f64 = 0.1;
+/// Maximum number of times that the duration of an ejection doubles.
 const MAX_DOUBLINGS: u32 = 6;
 
 #[derive(Debug, Clone)]
 pub(super) struct Peer {
     pub(super) incarnation: Incarnation,
-    /// Attempts of this node that have not ended.
-    pub(super) under_way: u32,
-    new_since: Option<Time>,
+    /// Attempts of this node at the instance that have not ended.
+    pub(super) in_flight: u32,
+    warming_since: Option<Time>,
     load: Load,
-    load_at: Option<Time>,
-    /// Attempts of this node under way when the load was reported: part of it.
-    under_way_then: u32,
-    failures: u32,
+    reported_at: Option<Time>,
+    /// Attempts of this node in flight when the load was reported, which the load includes.
+    in_flight_at_report: u32,
+    consecutive_failures: u32,
     ejections: u32,
-    ejected: Option<Time>,
-    draining: Option<Time>,
+    ejected_until: Option<Time>,
+    draining_until: Option<Time>,
 }
 
 impl Peer {
-    pub(super) fn new(member: &Member, new_since: Option<Time>) -> Self {
+    pub(super) fn new(member: &Member, warming_since: Option<Time>) -> Self {
         Self {
             incarnation: member.incarnation,
-            under_way: 0,
-            new_since,
+            in_flight: 0,
+            warming_since,
             load: Load { limit: member.slots, ..Load::default() },
-            load_at: None,
-            under_way_then: 0,
-            failures: 0,
+            reported_at: None,
+            in_flight_at_report: 0,
+            consecutive_failures: 0,
             ejections: 0,
-            ejected: None,
-            draining: None,
+            ejected_until: None,
+            draining_until: None,
         }
     }
 
-    pub(super) fn ended(&mut self, now: Time, end: AttemptEnd, config: &RouterConfig) {
-        self.under_way = self.under_way.saturating_sub(1);
+    pub(super) fn record_end(&mut self, now: Time, end: AttemptEnd, config: &RouterConfig) {
+        self.in_flight = self.in_flight.saturating_sub(1);
         match end {
             AttemptEnd::Answered(load) => {
                 if load.limit > 0 {
                     self.load = load;
                 }
-                self.load_at = Some(now);
-                self.under_way_then = self.under_way;
-                self.failures = 0;
-                if self.ejected.is_some_and(|until| until <= now) {
-                    self.ejected = None;
+                self.reported_at = Some(now);
+                self.in_flight_at_report = self.in_flight;
+                self.consecutive_failures = 0;
+                if self.ejected_until.is_some_and(|until| until <= now) {
+                    self.ejected_until = None;
                     self.ejections = 0;
                 }
             }
-            AttemptEnd::Draining => self.draining = Some(now + DRAINING_TIME),
+            AttemptEnd::Draining => self.draining_until = Some(now + DRAINING_HOLD),
             AttemptEnd::NoUpstream => {
-                self.failures = self.failures.max(config.eject_failures.saturating_sub(1));
-                self.failed(now, config);
+                self.consecutive_failures =
+                    self.consecutive_failures.max(config.eject_failures.saturating_sub(1));
+                self.record_failure(now, config);
             }
-            AttemptEnd::Failed => self.failed(now, config),
+            AttemptEnd::Failed => self.record_failure(now, config),
             AttemptEnd::Cancelled => {}
         }
     }
 
-    fn failed(&mut self, now: Time, config: &RouterConfig) {
-        self.failures += 1;
-        if self.failures < config.eject_failures || self.ejected_until(now).is_some() {
+    fn record_failure(&mut self, now: Time, config: &RouterConfig) {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures < config.eject_failures || self.ejected_until(now).is_some() {
             return;
         }
-        let doubled = config.eject_time * 2_u32.pow(self.ejections.min(MAX_DOUBLINGS));
-        self.ejected = Some(now + doubled.min(config.eject_time_max));
+        let duration = config.eject_time * 2_u32.pow(self.ejections.min(MAX_DOUBLINGS));
+        self.ejected_until = Some(now + duration.min(config.eject_time_max));
         self.ejections += 1;
-        // One more failure after the ejection ejects again.
-        self.failures = config.eject_failures.saturating_sub(1);
+        // A single failure after the ejection ejects the instance again.
+        self.consecutive_failures = config.eject_failures.saturating_sub(1);
     }
 
     pub(super) fn is_draining(&self, now: Time) -> bool {
-        self.draining.is_some_and(|until| now < until)
+        self.draining_until.is_some_and(|until| now < until)
     }
 
     pub(super) fn ejected_until(&self, now: Time) -> Option<Time> {
-        self.ejected.filter(|until| now < *until)
+        self.ejected_until.filter(|until| now < *until)
     }
 
-    /// Utilisation by the load last reported, corrected by what this node did since.
+    /// Returns the utilisation last reported, corrected by the attempts that this node started and
+    /// ended since; the node's own attempts alone where the report is too old.
     pub(super) fn utilisation(&self, now: Time, config: &RouterConfig) -> f64 {
-        let fresh = self.load_at.is_some_and(|at| now.since(at) < config.load_age);
-        if !fresh {
-            return f64::from(self.under_way) / f64::from(self.load.limit.max(1));
+        let is_fresh = self.reported_at.is_some_and(|at| now.since(at) < config.max_load_age);
+        if !is_fresh {
+            return f64::from(self.in_flight) / f64::from(self.load.limit.max(1));
         }
-        let since = f64::from(self.under_way) - f64::from(self.under_way_then);
+        let started_since = f64::from(self.in_flight) - f64::from(self.in_flight_at_report);
         let limit = f64::from(self.load.limit.max(1));
-        (self.load.utilisation() + since / limit).max(f64::from(self.under_way) / limit)
+        (self.load.utilisation() + started_since / limit).max(f64::from(self.in_flight) / limit)
     }
 
-    /// How often it is drawn, 1.0 for a warm instance.
+    /// Returns the weight in random draws, 1.0 outside the slow start.
     pub(super) fn weight(&self, now: Time, config: &RouterConfig) -> f64 {
-        let Some(since) = self.new_since else { return 1.0 };
-        let warm = now.since(since).as_secs_f64() / config.slow_start.as_secs_f64().max(1e-9);
-        warm.clamp(COLD_WEIGHT, 1.0)
+        let Some(since) = self.warming_since else { return 1.0 };
+        let progress = now.since(since).as_secs_f64() / config.slow_start.as_secs_f64().max(1e-9);
+        progress.clamp(MIN_SLOW_START_WEIGHT, 1.0)
     }
 }
--- a/crates/sycamore-call/src/route/unproven.rs
+++ b/crates/sycamore-call/src/route/unproven.rs
@@ -1,19 +1,20 @@
-//! Calls of an unproven version go to few of its instances.
+//! Concentration of an unproven version's calls on few of its instances.
 //!
 //! A version that fails only under load would show it late if its small share were spread over all
-//! of its instances. So one instance after the other is loaded as much as those of the settled
-//! version are, and no more, since the versions are compared at equal load.
+//! of its instances. So its instances are filled one after the other to the mean utilisation of the
+//! stable version's instances, and no further, since versions are compared at equal load.
 
 use super::{Pick, Router};
 use rand::Rng;
 use sycamore_types::prelude::*;
 
-/// Part of the calls that are spread over all instances, so that each shows that it works.
-const SPREAD_PART: f64 = 0.2;
-/// Least utilisation that an instance is loaded to.
-const LEAST_LOAD: f64 = 0.1;
+/// Fraction of the calls that are spread over all instances, so that each instance shows that it
+/// works.
+const SPREAD_FRACTION: f64 = 0.2;
+/// Minimum utilisation to which an instance is filled, for when the stable version is nearly idle.
+const MIN_TARGET_UTILISATION: f64 = 0.1;
 
-/// Whether a move gives `version` less than the whole.
+/// Returns whether `version` is unproven: a move gives it less than the whole share.
 pub(super) fn is_unproven(pick: &Pick<'_>, version: &UpstreamVersion) -> bool {
     let versions = pick.shares.services.get(pick.service);
     versions
@@ -23,23 +24,23 @@
 }
 
 impl Router {
-    /// The first instance that is less loaded than those of the other version are in the mean; `None`
-    /// where the call is to be spread or all are loaded.
-    pub(super) fn concentrated<'a>(
+    /// Returns the first instance that is utilised less than the mean of `others`; `None` where the
+    /// call is to be spread or all instances are filled.
+    pub(super) fn pick_concentrated<'a>(
         &mut self,
         now: Time,
         of_version: &[&'a Member],
         others: &[&Member],
     ) -> Option<&'a Member> {
-        if self.rng.random_bool(SPREAD_PART) || others.is_empty() {
+        if self.rng.random_bool(SPREAD_FRACTION) || others.is_empty() {
             return None;
         }
-        let bound = self.mean_utilisation(now, others).max(LEAST_LOAD);
-        of_version.iter().copied().find(|member| self.score(now, &member.instance) < bound)
+        let target = self.mean_utilisation(now, others).max(MIN_TARGET_UTILISATION);
+        of_version.iter().copied().find(|member| self.utilisation(now, &member.instance) < target)
     }
 
     fn mean_utilisation(&self, now: Time, members: &[&Member]) -> f64 {
-        let sum: f64 = members.iter().map(|member| self.score(now, &member.instance)).sum();
+        let sum: f64 = members.iter().map(|member| self.utilisation(now, &member.instance)).sum();
         sum / members.len().max(1) as f64
     }
 }
--- a/crates/sycamore-call/tests/decisions/load/heavy_calls_across_data_centres.rs
+++ b/crates/sycamore-call/tests/decisions/load/heavy_calls_across_data_centres.rs
@@ -1,12 +1,14 @@
-//! Heavy calls across data centres: an upload waits for the near upstream a little where a lookup goes
-//! to a far one, since its way is dear; in overload everywhere nobody travels for nothing.
+//! Tests of large request bodies across data centres: an upload waits a little for the near
+//! upstream where a lookup goes to a far one, since sending its body is expensive; under overload
+//! everywhere, calls stay near.
 
 use crate::common::{at, centre, member, region, service, view};
 use sycamore_call::route::{AttemptEnd, VersionBans};
 use sycamore_call::{Load, Pick, Router, RouterConfig};
 use sycamore_types::prelude::*;
 
-/// Which of a near and a far instance a call of `bytes` goes to, at these loads.
+/// Returns the instance that a call with a body of `bytes` goes to, `near` or `far`, at these
+/// loads.
 fn goes_to(near: Load, far: Load, bytes: Option<u64>) -> String {
     let view = view([member("near", "1", "a"), member("far", "1", "b")]);
     let mut router = Router::new(RouterConfig::default(), 7);
@@ -34,21 +36,24 @@
     Load { running, limit: 10, queued }
 }
 
+/// Guards against sending a large body to another data centre for a short queue.
 #[test]
-fn an_upload_stays_near_where_a_lookup_goes_far() {
+fn large_bodies_stay_near_where_small_ones_go_far() {
     let (near, far) = (load(10, 1), load(5, 0));
     assert_eq!(goes_to(near, far, Some(0)), "far");
     assert_eq!(goes_to(near, far, Some(60_000)), "near");
     assert_eq!(goes_to(near, far, None), "near", "a body of unknown length counts as heavy");
 }
 
+/// Guards against keeping a large body near at any price while a far instance is nearly idle.
 #[test]
-fn an_upload_goes_far_rather_than_into_a_long_queue() {
+fn large_bodies_go_far_when_the_near_queue_is_long() {
     assert_eq!(goes_to(load(10, 10), load(3, 0), Some(60_000)), "far");
 }
 
+/// Guards against traffic between data centres that gains nothing because both are overloaded.
 #[test]
-fn nobody_goes_far_for_the_same_queue() {
+fn calls_stay_near_under_equal_load() {
     for bytes in [0, 4_000, 60_000] {
         assert_eq!(goes_to(load(10, 5), load(10, 5), Some(bytes)), "near");
     }
--- a/crates/sycamore-call/tests/decisions/load/unproven_version_under_load.rs
+++ b/crates/sycamore-call/tests/decisions/load/unproven_version_under_load.rs
@@ -1,13 +1,16 @@
-//! A version that fails under load only: its small share must load some instance as those of the
-//! settled version are loaded, or the fault shows once it has most of the traffic.
+//! Test of a version that fails only under load: its small share must load some instance as much as
+//! the stable version's instances are loaded, or the failure shows only once it has most of the
+//! traffic.
 
 use crate::common::{at, centre, member, region, service, shares, view};
 use std::collections::BTreeMap;
 use sycamore_call::route::{AttemptEnd, VersionBans};
 use sycamore_call::{Load, Pick, Router, RouterConfig};
 
+/// Guards against spreading an unproven version's small share over all of its instances, and
+/// against loading one of them more than the stable version's.
 #[test]
-fn a_small_share_loads_one_instance_as_the_settled_version_is_loaded() {
+fn a_small_share_loads_one_instance_as_much_as_the_stable_version() {
     let old = ["o1", "o2", "o3", "o4"].map(|name| member(name, "1", "a"));
     let new = ["n1", "n2", "n3", "n4"].map(|name| member(name, "2", "a"));
     let view = view(old.iter().chain(&new).cloned());
@@ -30,7 +33,7 @@
         bytes: Some(0),
     };
     let mut under_way: BTreeMap<String, u32> = BTreeMap::new();
-    // As many calls as keep about five of the new version's under way.
+    // At a share of 10%, about five of these calls go to the new version and stay in flight.
     for _ in 0..50 {
         let choice = router.pick(at(2), &pick).unwrap();
         if choice.version.as_str() == "2" {
--- a/crates/sycamore-call/tests/decisions/route.rs
+++ b/crates/sycamore-call/tests/decisions/route.rs
@@ -1,4 +1,4 @@
-//! Which upstream a call goes to.
+//! Tests of the choice of an upstream for a call.
 
 use super::common::{at, centre, instance, member, ms, region, service, shares, version, view};
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use sycamore_call::{Load, Pick, Router, RouterConfig};
 use sycamore_types::prelude::*;
 
-struct World {
+struct Fixture {
     router: Router,
     view: MemberView,
     shares: ShareTable,
@@ -14,7 +14,7 @@
     tried: Vec<InstanceId>,
 }
 
-impl World {
+impl Fixture {
     fn new(members: impl IntoIterator<Item = Member>) -> Self {
         let view = view(members);
         let mut router = Router::new(RouterConfig::default(), 7);
@@ -38,7 +38,8 @@
         self.router.pick(now, &pick).map(|choice| choice.instance)
     }
 
-    /// Makes `count` calls one after the other, each answered with `load`; how many each got.
+    /// Makes `count` consecutive calls, each answered with `load`; returns the number of calls per
+    /// instance.
     fn spread(&mut self, now: Time, count: usize, load: Load) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for _ in 0..count {
@@ -53,124 +54,141 @@
 const IDLE: Load = Load { running: 0, limit: 10, queued: 0 };
 const FULL: Load = Load { running: 10, limit: 10, queued: 10 };
 
+/// Guards against sending calls far away without need, and against queueing them near while a far
+/// instance is idle.
 #[test]
-fn the_near_data_centre_comes_first_until_it_is_loaded() {
-    let mut world = World::new([member("n", "1", "a"), member("f", "1", "b")]);
-    let counts = world.spread(at(1), 100, IDLE);
+fn calls_stay_in_the_data_centre_until_its_instances_are_full() {
+    let mut fixture = Fixture::new([member("n", "1", "a"), member("f", "1", "b")]);
+    let counts = fixture.spread(at(1), 100, IDLE);
     assert_eq!(counts.get("n"), Some(&100));
-    let near = world.pick(at(2)).unwrap();
-    world.router.ended(at(2), &near, AttemptEnd::Answered(FULL));
-    let spilled: Vec<_> = (0..10).map(|_| world.pick(at(3)).unwrap().to_string()).collect();
+    let near = fixture.pick(at(2)).unwrap();
+    fixture.router.ended(at(2), &near, AttemptEnd::Answered(FULL));
+    let spilled: Vec<_> = (0..10).map(|_| fixture.pick(at(3)).unwrap().to_string()).collect();
     assert!(spilled.iter().all(|name| name == "f"), "{spilled:?}");
 }
 
+/// Guards against avoiding an instance forever because its last report, now old, said that it was
+/// full.
 #[test]
-fn a_report_that_is_old_says_nothing() {
-    let mut world = World::new([member("n", "1", "a"), member("f", "1", "b")]);
-    let near = world.pick(at(0)).unwrap();
-    world.router.ended(at(0), &near, AttemptEnd::Answered(FULL));
-    assert_eq!(world.pick(at(10)).unwrap().as_str(), "f");
-    assert_eq!(world.pick(at(5_000)).unwrap().as_str(), "n");
+fn an_outdated_load_report_is_ignored() {
+    let mut fixture = Fixture::new([member("n", "1", "a"), member("f", "1", "b")]);
+    let near = fixture.pick(at(0)).unwrap();
+    fixture.router.ended(at(0), &near, AttemptEnd::Answered(FULL));
+    assert_eq!(fixture.pick(at(10)).unwrap().as_str(), "f");
+    assert_eq!(fixture.pick(at(5_000)).unwrap().as_str(), "n");
 }
 
+/// Guards against choosing at random between instances whose loads are known.
 #[test]
-fn the_less_loaded_of_two_gets_the_call() {
-    let mut world = World::new([member("x", "1", "a"), member("y", "1", "a")]);
+fn the_less_utilised_of_two_instances_is_chosen() {
+    let mut fixture = Fixture::new([member("x", "1", "a"), member("y", "1", "a")]);
     for name in ["x", "y"] {
-        // Both are tried once, so that both loads are known.
+        // One answer from each instance makes both loads known.
         let load = if name == "x" { Load { running: 6, ..IDLE } } else { IDLE };
-        world.router.ended(at(0), &instance(name), AttemptEnd::Answered(load));
+        fixture.router.ended(at(0), &instance(name), AttemptEnd::Answered(load));
     }
     let mut counts = BTreeMap::new();
     for _ in 0..6 {
-        *counts.entry(world.pick(at(1)).unwrap().to_string()).or_insert(0) += 1;
+        *counts.entry(fixture.pick(at(1)).unwrap().to_string()).or_insert(0) += 1;
     }
     assert_eq!(counts.get("y"), Some(&6), "{counts:?}");
 }
 
+/// Guards against giving a cold instance a full part of the calls at once.
 #[test]
-fn an_instance_that_is_new_gets_less_at_first() {
+fn a_new_instance_starts_slowly() {
     let old: Vec<_> = ["x", "y", "z"].map(|name| member(name, "1", "a")).into();
-    let mut world = World::new(old.clone());
-    world.view = view(old.into_iter().chain([member("new", "1", "a")]));
-    world.router.update(at(10_000), &world.view);
-    let cold = world.spread(at(10_000), 400, IDLE).get("new").copied().unwrap_or(0);
-    let warm = world.spread(at(16_000), 400, IDLE).get("new").copied().unwrap_or(0);
+    let mut fixture = Fixture::new(old.clone());
+    fixture.view = view(old.into_iter().chain([member("new", "1", "a")]));
+    fixture.router.update(at(10_000), &fixture.view);
+    let cold = fixture.spread(at(10_000), 400, IDLE).get("new").copied().unwrap_or(0);
+    let warm = fixture.spread(at(16_000), 400, IDLE).get("new").copied().unwrap_or(0);
     assert!(cold < 20, "{cold}");
     assert!((60..=140).contains(&warm), "{warm}");
 }
 
+/// Guards against ejecting a whole service when all of its instances fail, and against ejections
+/// that don't end.
 #[test]
-fn failures_eject_but_never_the_whole_service() {
-    let mut world = World::new(["w", "x", "y", "z"].map(|name| member(name, "1", "a")));
+fn at_most_half_of_the_instances_are_ejected() {
+    let mut fixture = Fixture::new(["w", "x", "y", "z"].map(|name| member(name, "1", "a")));
     for name in ["w", "x", "y", "z"] {
         for _ in 0..3 {
-            world.router.ended(at(100), &instance(name), AttemptEnd::Failed);
+            fixture.router.ended(at(100), &instance(name), AttemptEnd::Failed);
         }
     }
     let mut left = BTreeMap::new();
     for _ in 0..100 {
-        *left.entry(world.pick(at(200)).unwrap()).or_insert(0) += 1;
+        *left.entry(fixture.pick(at(200)).unwrap()).or_insert(0) += 1;
     }
-    assert_eq!(left.len(), 2, "half is the floor: {left:?}");
+    assert_eq!(left.len(), 2, "half of the instances stay: {left:?}");
     for name in ["w", "x", "y", "z"] {
-        world.router.ended(at(2_500), &instance(name), AttemptEnd::Answered(IDLE));
+        fixture.router.ended(at(2_500), &instance(name), AttemptEnd::Answered(IDLE));
     }
-    assert_eq!(world.spread(at(2_600), 200, IDLE).len(), 4, "ejections end");
+    assert_eq!(fixture.spread(at(2_600), 200, IDLE).len(), 4, "ejections end");
 }
 
+/// Guards against sending calls to an instance that refused with `draining`, even where no other is
+/// left.
 #[test]
-fn a_draining_instance_gets_nothing_more() {
-    let mut world = World::new([member("x", "1", "a"), member("y", "1", "a")]);
-    world.router.ended(at(0), &instance("x"), AttemptEnd::Draining);
-    assert_eq!(world.spread(at(1), 50, IDLE).get("x"), None);
-    world.router.ended(at(0), &instance("y"), AttemptEnd::Draining);
-    assert_eq!(world.pick(at(2)), None);
+fn a_draining_instance_gets_no_calls() {
+    let mut fixture = Fixture::new([member("x", "1", "a"), member("y", "1", "a")]);
+    fixture.router.ended(at(0), &instance("x"), AttemptEnd::Draining);
+    assert_eq!(fixture.spread(at(1), 50, IDLE).get("x"), None);
+    fixture.router.ended(at(0), &instance("y"), AttemptEnd::Draining);
+    assert_eq!(fixture.pick(at(2)), None);
 }
 
+/// Guards against a share of calls that deviates from the share table.
 #[test]
-fn versions_get_their_share() {
-    let mut world = World::new([member("x", "1", "a"), member("y", "2", "a")]);
-    world.shares = shares(9_500, 500);
-    let new = world.spread(at(1), 10_000, IDLE)["y"];
+fn versions_receive_their_traffic_share() {
+    let mut fixture = Fixture::new([member("x", "1", "a"), member("y", "2", "a")]);
+    fixture.shares = shares(9_500, 500);
+    let new = fixture.spread(at(1), 10_000, IDLE)["y"];
     assert!((400..=600).contains(&new), "{new} of 10,000 at 5%");
 }
 
+/// Guards against losing calls when the new version is banned, and against retries that raise the
+/// share of an unproven version when the stable one was tried.
 #[test]
-fn what_the_new_version_cant_take_goes_to_the_settled_one_and_never_the_other_way() {
-    let mut world = World::new([member("x", "1", "a"), member("y", "2", "a")]);
-    world.shares = shares(0, 10_000);
-    world.bans.insert(service(), version("2"));
-    assert_eq!(world.pick(at(1)).unwrap().as_str(), "x");
-    world.bans = VersionBans::default();
-    world.shares = shares(9_900, 100);
-    world.tried = vec![instance("x")];
-    let taken = (0..200).filter(|_| world.pick(at(1)).is_some()).count();
+fn overflow_goes_to_the_stable_version_but_not_to_the_unproven_one() {
+    let mut fixture = Fixture::new([member("x", "1", "a"), member("y", "2", "a")]);
+    fixture.shares = shares(0, 10_000);
+    fixture.bans.insert(service(), version("2"));
+    assert_eq!(fixture.pick(at(1)).unwrap().as_str(), "x");
+    fixture.bans = VersionBans::default();
+    fixture.shares = shares(9_900, 100);
+    fixture.tried = vec![instance("x")];
+    let taken = (0..200).filter(|_| fixture.pick(at(1)).is_some()).count();
     assert!(taken < 20, "{taken} of 200 went to the unproven version at 1%");
 }
 
+/// Guards against sending calls to a version that the share table doesn't list.
 #[test]
-fn an_unproven_version_that_is_unlisted_gets_nothing() {
-    let mut world = World::new([member("x", "1", "a"), member("y", "3", "a")]);
-    world.shares = shares(9_500, 500);
-    assert_eq!(world.spread(at(1), 200, IDLE).get("y"), None);
+fn a_version_without_a_share_gets_no_calls() {
+    let mut fixture = Fixture::new([member("x", "1", "a"), member("y", "3", "a")]);
+    fixture.shares = shares(9_500, 500);
+    assert_eq!(fixture.spread(at(1), 200, IDLE).get("y"), None);
 }
 
+/// Guards against retries towards a service without a usable instance.
 #[test]
-fn room_is_what_is_neither_full_nor_leaving_nor_tried() {
-    let mut world = World::new([member("x", "1", "a"), member("y", "1", "a")]);
-    let has_room = |world: &World, tried: &[InstanceId]| {
-        world.router.has_room(at(10), &service(), &world.view, tried)
+fn has_room_ignores_full_unreachable_and_tried_instances() {
+    let mut fixture = Fixture::new([member("x", "1", "a"), member("y", "1", "a")]);
+    let has_room = |fixture: &Fixture, tried: &[InstanceId]| {
+        fixture.router.has_room(at(10), &service(), &fixture.view, tried)
     };
-    assert!(has_room(&world, &[]));
-    world.router.ended(at(5), &instance("x"), AttemptEnd::Answered(FULL));
-    assert!(!has_room(&world, &[instance("y")]));
-    world.router.ended(at(5), &instance("y"), AttemptEnd::NoUpstream);
-    assert!(!has_room(&world, &[]));
+    assert!(has_room(&fixture, &[]));
+    fixture.router.ended(at(5), &instance("x"), AttemptEnd::Answered(FULL));
+    assert!(!has_room(&fixture, &[instance("y")]));
+    fixture.router.ended(at(5), &instance("y"), AttemptEnd::NoUpstream);
+    assert!(!has_room(&fixture, &[]));
 }
 
+/// Guards against a load header that the receiving node can't parse or that malformed text passes
+/// for.
 #[test]
-fn loads_are_read_back_as_written() {
+fn loads_survive_formatting_and_parsing() {
     let load = Load { running: 3, limit: 12, queued: 1 };
     assert_eq!(load.to_string().parse(), Ok(load));
     for bad in ["", "1/2", "1/2/x", "1/2/3/4", "-1/2/3"] {
