--- a/crates/sycamore-call/src/retry/mod.rs
+++ b/crates/sycamore-call/src/retry/mod.rs
@@ -1,36 +1,37 @@
-//! Whether a failed attempt is made again: only what certainly did not run or is idempotent, within
-//! a budget per destination, after a backoff with full jitter.
+//! Retry policy: retries only attempts that certainly did not run or are idempotent, within a
+//! budget per destination, and after an exponential backoff with full jitter.
 //!
-//! Attempts are not multiplied through a chain of calls: an answer that carries a `retry-after` was
-//! given up below and is final above, and an attempt that is itself a retry is not retried again by
-//! the nodes below it.
+//! Retries don't multiply along a chain of calls: an answer with `retry-after` was given up by a
+//! node below and is final for the nodes above, and an attempt that is itself a retry is not
+//! retried by the nodes below.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// Most retries that a budget saves up.
-const MAX_SAVED: f64 = 10.0;
-/// Services on the longest usual way of a call. A repeat at each makes the calls below repeats too,
-/// so that what all nodes may save is divided by it.
-const LEVELS: f64 = 2.0;
+/// Maximum number of retries that a budget accumulates.
+const MAX_SAVED_RETRIES: f64 = 10.0;
+/// Number of services along a typical chain of calls. A retry at one service also makes the calls
+/// below it repeats, so the retries that all nodes may accumulate are divided by this number.
+const CHAIN_LENGTH: f64 = 2.0;
 
 /// Settings of a [`RetryBudget`].
 #[derive(Debug, Clone)]
 pub struct RetryConfig {
-    /// Attempts in all, the first included.
+    /// Maximum number of attempts of a call, including the first.
     pub attempts: u8,
-    /// Retries allowed for each 100 first attempts.
+    /// Number of retries allowed for each 100 first attempts.
     pub budget_percent: u8,
-    /// Refusals for load after which a call goes to another upstream that is known to have room, without
-    /// using the budget or an attempt: it has reached no upstream yet.
+    /// Number of refusals for load after which a call is sent to another upstream known to have
+    /// capacity, at no cost in budget or attempts, since it has reached no upstream yet.
     pub free_reroutes: u8,
-    /// Retries that a budget saves up at most; below one, it begins with that part of a retry.
+    /// Maximum number of retries that the budget accumulates; below one, the initial balance is
+    /// this fraction of a retry.
     pub saved: f64,
-    /// Longest backoff before the first retry; each further one doubles it.
+    /// Upper bound of the backoff before the first retry; each further retry doubles it.
     pub backoff: Duration,
-    /// Longest backoff.
+    /// Upper bound of the backoff before any retry.
     pub backoff_max: Duration,
 }
 
@@ -46,7 +47,7 @@
             attempts: policy.attempts,
             budget_percent: policy.budget_percent,
             free_reroutes: 0,
-            saved: MAX_SAVED,
+            saved: MAX_SAVED_RETRIES,
             backoff: Duration::from_millis(5),
             backoff_max: Duration::from_millis(100),
         }
@@ -54,28 +55,29 @@
 }
 
 impl RetryConfig {
-    /// The same for one of `nodes` that may save up `fleet` retries towards a service together.
+    /// Reduces the accumulated retries to the part of one of `nodes` nodes, which together may
+    /// accumulate `fleet` retries towards a service.
     #[must_use]
     pub fn shared_by(self, fleet: u32, nodes: usize) -> Self {
-        let share = f64::from(fleet) / LEVELS / nodes.max(1) as f64;
+        let share = f64::from(fleet) / CHAIN_LENGTH / nodes.max(1) as f64;
         Self { saved: share.min(self.saved), ..self }
     }
 }
 
-/// Why an attempt failed.
+/// Failure of an attempt, which determines whether a repeat is safe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AttemptFailure {
-    /// It certainly did not run.
+    /// The attempt certainly did not run, for this reason.
     NotRun(RefusalReason),
-    /// It may have run.
+    /// The attempt may have run.
     Unknown {
-        /// The upstream crashed while it ran, perhaps because of it.
+        /// `true` where the upstream crashed during the attempt, which may have caused the crash.
         crashed: bool,
     },
 }
 
 impl AttemptFailure {
-    /// The failure as metrics name it.
+    /// Returns the failure's name in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun(reason) => reason.as_str(),
@@ -84,8 +86,8 @@
         }
     }
 
-    /// What a call that is given up after this failure is answered with, given the failure of an
-    /// `earlier` attempt: what may have run outweighs every later refusal.
+    /// Returns the failure to report for a call that is given up after `self`, given the failure
+    /// reported by an `earlier` attempt: an attempt that may have run outweighs any later refusal.
     #[must_use]
     pub fn after(self, earlier: Option<AttemptFailure>) -> AttemptFailure {
         match earlier {
@@ -95,33 +97,33 @@
     }
 }
 
-/// The call whose attempt failed.
+/// State of a call whose attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct CallState {
-    /// Attempts made, the failed one included.
+    /// Number of attempts made, including the failed one.
     pub attempts: u8,
-    /// Of these, those that were refused for load before.
+    /// Number of these attempts that were rerouted for free after a refusal for load.
     pub rerouted: u8,
-    /// Running it twice does no harm.
+    /// `true` where running the call twice does no harm.
     pub idempotent: bool,
-    /// The attempt is itself a retry of a node above.
+    /// `true` where the call is itself part of a retry by a node above.
     pub is_retry: bool,
-    /// Some other upstream is known to have room.
+    /// `true` where some untried upstream is known to have capacity.
     pub has_room: bool,
-    /// Time until the deadline.
+    /// Time left until the call's deadline.
     pub left: Duration,
 }
 
-/// What to do after a failed attempt.
+/// Decision after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RetryDecision {
-    /// Try another upstream after this time.
+    /// Send the call to another upstream after this delay.
     Retry(Duration),
     /// Give the final answer now.
     GiveUp,
 }
 
-/// Retries towards one destination.
+/// Token bucket that limits retries towards one destination.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     config: RetryConfig,
@@ -130,32 +132,33 @@
 }
 
 impl RetryBudget {
-    /// A budget that draws its jitter from `seed`. It starts with one retry saved.
+    /// Creates a budget with one retry available, or fewer where the settings say so; jitter is
+    /// seeded with `seed`.
     pub fn new(config: RetryConfig, seed: u64) -> Self {
         let saved = config.saved.min(1.0);
         Self { config, saved, rng: SmallRng::seed_from_u64(seed) }
     }
 
-    /// Takes new settings.
+    /// Applies new settings; the balance stays.
     pub fn configure(&mut self, config: RetryConfig) {
         self.config = config;
     }
 
-    /// Retries saved up.
+    /// Returns the number of retries accumulated.
     pub fn saved(&self) -> f64 {
         self.saved
     }
 
-    /// Counts the first attempt of a call.
+    /// Credits the budget for the first attempt of a call.
     pub fn first_attempt(&mut self) {
-        let earned = f64::from(self.config.budget_percent) / 100.0;
-        // A whole retry is spent at a time.
-        self.saved = (self.saved + earned).min(self.config.saved.max(1.0));
+        let credit = f64::from(self.config.budget_percent) / 100.0;
+        // A retry costs 1.0, so the cap must not be lower.
+        self.saved = (self.saved + credit).min(self.config.saved.max(1.0));
     }
 
-    /// Decides what follows a failed attempt.
+    /// Decides whether to retry a failed attempt, and charges the budget for it.
     pub fn decide(&mut self, call: &CallState, failure: AttemptFailure) -> RetryDecision {
-        if self.is_free(call, failure) {
+        if self.is_free_reroute(call, failure) {
             return RetryDecision::Retry(Duration::ZERO);
         }
         let attempts = call.attempts.saturating_sub(call.rerouted);
@@ -163,29 +166,31 @@
             return RetryDecision::GiveUp;
         }
         match failure {
-            AttemptFailure::NotRun(reason) => self.after_refusal(call, reason),
+            AttemptFailure::NotRun(reason) => self.decide_after_refusal(call, reason),
             AttemptFailure::Unknown { crashed: true } => RetryDecision::GiveUp,
-            AttemptFailure::Unknown { crashed: false } if call.idempotent => self.spend(call),
+            AttemptFailure::Unknown { crashed: false } if call.idempotent => self.spend_retry(call),
             AttemptFailure::Unknown { crashed: false } => RetryDecision::GiveUp,
         }
     }
 
-    fn is_free(&self, call: &CallState, failure: AttemptFailure) -> bool {
+    fn is_free_reroute(&self, call: &CallState, failure: AttemptFailure) -> bool {
         failure == AttemptFailure::NotRun(RefusalReason::Overloaded)
             && call.has_room
             && call.rerouted < self.config.free_reroutes
     }
 
-    fn after_refusal(&mut self, call: &CallState, reason: RefusalReason) -> RetryDecision {
+    fn decide_after_refusal(&mut self, call: &CallState, reason: RefusalReason) -> RetryDecision {
         match reason {
-            // These concern one upstream, which the router now leaves out: going elsewhere costs
-            // the refusing upstream nothing and stops by itself.
+            // These refusals concern one upstream, which the router now avoids. Sending the call to
+            // another costs the refusing upstream nothing and stops by itself.
             RefusalReason::BadVersion
             | RefusalReason::ShareSpent
             | RefusalReason::Draining
             | RefusalReason::NotReady => RetryDecision::Retry(Duration::ZERO),
             RefusalReason::NoUpstream if call.has_room => RetryDecision::Retry(Duration::ZERO),
-            RefusalReason::Overloaded | RefusalReason::Shed if call.has_room => self.spend(call),
+            RefusalReason::Overloaded | RefusalReason::Shed if call.has_room => {
+                self.spend_retry(call)
+            }
             RefusalReason::NoUpstream
             | RefusalReason::Overloaded
             | RefusalReason::Shed
@@ -196,8 +201,8 @@
         }
     }
 
-    fn spend(&mut self, call: &CallState) -> RetryDecision {
-        let backoff = self.backoff(call.attempts);
+    fn spend_retry(&mut self, call: &CallState) -> RetryDecision {
+        let backoff = self.draw_backoff(call.attempts);
         if self.saved < 1.0 || backoff >= call.left {
             return RetryDecision::GiveUp;
         }
@@ -205,8 +210,8 @@
         RetryDecision::Retry(backoff)
     }
 
-    /// Full jitter: uniform between zero and the doubled bound.
-    fn backoff(&mut self, attempts: u8) -> Duration {
+    /// Returns a backoff with full jitter: uniform between zero and the exponential bound.
+    fn draw_backoff(&mut self, attempts: u8) -> Duration {
         let doublings = u32::from(attempts.saturating_sub(1)).min(16);
         let bound = (self.config.backoff * 2_u32.pow(doublings)).min(self.config.backoff_max);
         bound.mul_f64(self.rng.random())
--- a/crates/sycamore-call/tests/decisions/model/attempt.rs
+++ b/crates/sycamore-call/tests/decisions/model/attempt.rs
@@ -1,6 +1,6 @@
-//! One call without an idempotency key through retries: it runs at most once where it is not
-//! idempotent, and an answer of "not run" is true, while connections fail before and after each
-//! byte, upstreams crash, refuse and are slow, and the caller's node decides by the real rules.
+//! Model of a call without an idempotency key and its retries: a non-idempotent call runs at most
+//! once, and an answer of "not run" is true, while connections fail before and after each step,
+//! upstreams crash, refuse and are slow, and the caller's node applies the real retry policy.
 
 use super::{assert_broken, assert_holds};
 use crate::common::{at, ms};
@@ -18,24 +18,24 @@
 const CALL: u64 = 1;
 const OTHER: u64 = 2;
 
-/// Where the attempt under way is.
+/// Progress of the current attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Attempt {
-    /// None is: one may start.
+    /// No attempt is in flight; one may start.
     Idle,
-    /// Under way to this upstream's node.
+    /// The request is on its way to this upstream's node.
     Sent(usize),
-    /// Waiting there for a slot.
+    /// The call is queued at this upstream's node.
     Waiting(usize),
-    /// Running there.
+    /// The call runs on this upstream.
     Running(usize),
-    /// Its end is on the way back.
-    Back(AttemptFailure),
-    /// The caller has its answer.
+    /// The failure is on its way back.
+    Failed(AttemptFailure),
+    /// The caller has received the upstream's answer.
     Answered,
-    /// The caller was told that it did not run.
+    /// The caller was told that the call did not run.
     NotRun,
-    /// The caller was told that it may have run.
+    /// The caller was told that the call may have run.
     Unknown,
 }
 
@@ -45,7 +45,8 @@
     attempts: u8,
     runs: u8,
     earlier: Option<AttemptFailure>,
-    /// What each upstream's admission was given; it is replayed, since it can't be compared.
+    /// Inputs given to each upstream's admission; they are replayed, since an admission can't be
+    /// compared.
     inputs: Vec<Vec<Input>>,
     tried: [bool; UPSTREAMS],
 }
@@ -59,18 +60,18 @@
     }
 }
 
-/// How a mutant differs from the daemon.
+/// Fault that makes the model differ from the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// A broken connection is taken for a refusal.
+    /// A broken connection counts as a refusal.
     BrokenIsNotRun,
-    /// Every call is taken for idempotent.
+    /// Every call counts as idempotent.
     AllIdempotent,
-    /// A call that waits is told "not run" by its caller's node when the connection breaks.
+    /// The caller's node reports "not run" for a queued call whose connection broke.
     WaitingIsNotRun,
-    /// The last attempt alone decides what the caller is told.
-    LastCounts,
+    /// Only the last attempt determines what the caller is told.
+    IgnoresEarlier,
 }
 
 struct Attempts {
@@ -89,8 +90,8 @@
         (admission, last)
     }
 
-    /// Gives `input` to the admission of `upstream`; what it decides on the call.
-    fn give(state: &mut State, upstream: usize, input: Input) -> Option<Decision> {
+    /// Gives `input` to the admission of `upstream`; returns its decision on the call.
+    fn apply_input(state: &mut State, upstream: usize, input: Input) -> Option<Decision> {
         state.inputs[upstream].push(input);
         let (_, decisions) = Self::admission(&state.inputs[upstream]);
         decisions.into_iter().find(|decision| match decision {
@@ -98,7 +99,7 @@
         })
     }
 
-    fn decided(state: &mut State, upstream: usize, decision: Option<Decision>) {
+    fn apply_decision(state: &mut State, upstream: usize, decision: Option<Decision>) {
         match decision {
             None => {}
             Some(Decision::Admit(_)) => {
@@ -106,13 +107,13 @@
                 state.attempt = Attempt::Running(upstream);
             }
             Some(Decision::Refuse { reason, .. }) => {
-                state.attempt = Attempt::Back(AttemptFailure::NotRun(reason));
+                state.attempt = Attempt::Failed(AttemptFailure::NotRun(reason));
             }
         }
     }
 
-    /// Another call at an upstream that has not ended, where there is one.
-    fn others(inputs: &[Input]) -> Option<u64> {
+    /// Returns another call at an upstream that has not ended, if there is one.
+    fn other_running_call(inputs: &[Input]) -> Option<u64> {
         let ended =
             |id| inputs.iter().any(|input| matches!(input, Input::Finish(by, _) if *by == id));
         inputs.iter().find_map(|input| match input {
@@ -133,8 +134,8 @@
         })
     }
 
-    /// What the caller's node does with the end of an attempt.
-    fn back(&self, state: &mut State, failure: AttemptFailure) {
+    /// Applies the retry policy of the caller's node to a failed attempt.
+    fn apply_retry_policy(&self, state: &mut State, failure: AttemptFailure) {
         let mut budget = RetryBudget::new(RetryConfig::default(), 1);
         let call = CallState {
             attempts: state.attempts,
@@ -145,7 +146,7 @@
             left: ms(1_000),
         };
         let earlier = match self.mutant {
-            Mutant::LastCounts => None,
+            Mutant::IgnoresEarlier => None,
             _ => state.earlier,
         };
         let answer = failure.after(earlier);
@@ -157,14 +158,14 @@
         };
     }
 
-    /// The connection breaks after the request went out.
-    fn broken(&self, waiting: bool, crashed: bool) -> Attempt {
-        let lies = match self.mutant {
+    /// Returns the attempt's state after its connection broke with the request already sent.
+    fn after_broken_connection(&self, waiting: bool, crashed: bool) -> Attempt {
+        let reports_not_run = match self.mutant {
             Mutant::BrokenIsNotRun => true,
             Mutant::WaitingIsNotRun => waiting,
-            Mutant::None | Mutant::AllIdempotent | Mutant::LastCounts => false,
+            Mutant::None | Mutant::AllIdempotent | Mutant::IgnoresEarlier => false,
         };
-        Attempt::Back(match lies {
+        Attempt::Failed(match reports_not_run {
             true => AttemptFailure::NotRun(RefusalReason::NoUpstream),
             false => AttemptFailure::Unknown { crashed },
         })
@@ -206,7 +207,7 @@
                     add(format!("connect to {i} fails"), &|next| {
                         start(next);
                         next.attempt =
-                            Attempt::Back(AttemptFailure::NotRun(RefusalReason::NoUpstream));
+                            Attempt::Failed(AttemptFailure::NotRun(RefusalReason::NoUpstream));
                     });
                     add(format!("send to {i}"), &|next| {
                         start(next);
@@ -215,57 +216,58 @@
                 }
                 if !state.tried.contains(&false) {
                     let none = AttemptFailure::NotRun(RefusalReason::NoUpstream);
-                    add("no upstream is left".into(), &|next| next.attempt = Attempt::Back(none));
+                    add("no upstream is left".into(), &|next| next.attempt = Attempt::Failed(none));
                 }
             }
             Attempt::Sent(i) => {
                 add("the request arrives".into(), &|next| {
                     next.attempt = Attempt::Waiting(i);
-                    let decision = Self::give(next, i, Self::arrival(CALL));
-                    Self::decided(next, i, decision);
+                    let decision = Self::apply_input(next, i, Self::arrival(CALL));
+                    Self::apply_decision(next, i, decision);
                 });
                 add("the request is lost".into(), &|next| {
-                    next.attempt = self.broken(true, false);
+                    next.attempt = self.after_broken_connection(true, false);
                 });
-                add("it arrives, and nobody hears of it".into(), &|next| {
-                    let decision = Self::give(next, i, Self::arrival(CALL));
+                add("the request arrives, and its answer is lost".into(), &|next| {
+                    let decision = Self::apply_input(next, i, Self::arrival(CALL));
                     next.runs += u8::from(matches!(decision, Some(Decision::Admit(_))));
-                    next.attempt = self.broken(true, false);
+                    next.attempt = self.after_broken_connection(true, false);
                 });
             }
             Attempt::Waiting(i) => {
-                let others = Self::others(&state.inputs[i]);
-                if let Some(other) = others {
+                let other = Self::other_running_call(&state.inputs[i]);
+                if let Some(other) = other {
                     add("another call ends".into(), &|next| {
-                        let decision = Self::give(next, i, Input::Finish(other, RunEnd::Answered));
-                        Self::decided(next, i, decision);
+                        let decision =
+                            Self::apply_input(next, i, Input::Finish(other, RunEnd::Answered));
+                        Self::apply_decision(next, i, decision);
                     });
                 }
                 add("the upstream's node drains".into(), &|next| {
-                    let decision = Self::give(next, i, Input::Drain);
-                    Self::decided(next, i, decision);
+                    let decision = Self::apply_input(next, i, Input::Drain);
+                    Self::apply_decision(next, i, decision);
                 });
-                add("the connection breaks, and it runs later".into(), &|next| {
-                    let ended = Input::Finish(others.unwrap_or(OTHER), RunEnd::Answered);
-                    let decision = Self::give(next, i, ended);
+                add("the connection breaks, and the call runs later".into(), &|next| {
+                    let ended = Input::Finish(other.unwrap_or(OTHER), RunEnd::Answered);
+                    let decision = Self::apply_input(next, i, ended);
                     next.runs += u8::from(matches!(decision, Some(Decision::Admit(_))));
-                    next.attempt = self.broken(true, false);
+                    next.attempt = self.after_broken_connection(true, false);
                 });
             }
             Attempt::Running(i) => {
                 add("the answer arrives".into(), &|next| next.attempt = Attempt::Answered);
                 add("the answer is lost".into(), &|next| {
-                    Self::give(next, i, Input::Finish(CALL, RunEnd::Answered));
-                    next.attempt = self.broken(false, false);
+                    Self::apply_input(next, i, Input::Finish(CALL, RunEnd::Answered));
+                    next.attempt = self.after_broken_connection(false, false);
                 });
                 add("the upstream crashes".into(), &|next| {
-                    Self::give(next, i, Input::Finish(CALL, RunEnd::Aborted));
-                    next.attempt = self.broken(false, true);
+                    Self::apply_input(next, i, Input::Finish(CALL, RunEnd::Aborted));
+                    next.attempt = self.after_broken_connection(false, true);
                 });
             }
-            Attempt::Back(failure) => {
+            Attempt::Failed(failure) => {
                 add(format!("the caller's node learns {failure:?}"), &|next| {
-                    self.back(next, failure);
+                    self.apply_retry_policy(next, failure);
                 });
             }
             Attempt::Answered | Attempt::NotRun | Attempt::Unknown => {}
@@ -291,28 +293,41 @@
     Attempts { mutant, idempotent }
 }
 
+/// Guards against a second run of a call and against a false "not run", over every order of faults
+/// that the model has.
 #[test]
-fn a_call_runs_at_most_once_and_not_run_is_true() {
+fn a_non_idempotent_call_runs_at_most_once() {
     assert_holds("attempts", &attempts(Mutant::None, false));
     assert_holds("attempts, idempotent", &attempts(Mutant::None, true));
 }
 
+/// Guards against a model too weak to find that a call whose connection broke is retried although
+/// it may have run.
 #[test]
-fn a_broken_connection_is_no_refusal() {
+fn the_model_detects_a_broken_connection_taken_for_a_refusal() {
     assert_broken("broken is not-run", &attempts(Mutant::BrokenIsNotRun, false), "run");
 }
 
+/// Guards against a model too weak to find the second run when every call is taken for idempotent.
 #[test]
-fn a_post_is_not_repeated() {
+fn the_model_detects_retries_of_non_idempotent_calls() {
     assert_broken("all idempotent", &attempts(Mutant::AllIdempotent, false), "ran twice");
 }
 
+/// Guards against a model too weak to find a "not run" answer after an earlier attempt that may
+/// have run.
 #[test]
-fn a_refusal_does_not_undo_an_earlier_attempt() {
-    assert_broken("the last counts", &attempts(Mutant::LastCounts, true), "refused as not run");
+fn the_model_detects_a_refusal_that_hides_an_earlier_run() {
+    assert_broken(
+        "earlier attempt ignored",
+        &attempts(Mutant::IgnoresEarlier, true),
+        "refused as not run",
+    );
 }
 
+/// Guards against a model too weak to find that a queued call may still run after its connection
+/// broke.
 #[test]
-fn a_lost_wait_is_no_refusal() {
+fn the_model_detects_a_queued_call_taken_for_refused() {
     assert_broken("waiting is not-run", &attempts(Mutant::WaitingIsNotRun, false), "run");
 }
--- a/crates/sycamore-call/tests/decisions/model/mod.rs
+++ b/crates/sycamore-call/tests/decisions/model/mod.rs
@@ -1,11 +1,11 @@
-//! Exhaustive models over the real state machines.
+//! Exhaustive model checks of the real state machines.
 
 mod attempt;
 mod key;
 
 use sycamore_model::{explore, Model, Options, Outcome};
 
-/// Explores `model` and expects every state to hold; prints the number of states.
+/// Explores `model`, asserts that every state holds, and prints the number of states.
 #[track_caller]
 fn assert_holds(name: &str, model: &impl Model) {
     let outcome = explore(model, &Options::default());
@@ -13,7 +13,7 @@
     assert!(matches!(outcome, Outcome::Holds { .. }), "{name}: {outcome}");
 }
 
-/// Explores a mutant and expects a state that breaks `property`.
+/// Explores a faulty variant of a model and asserts that some state breaks `property`.
 #[track_caller]
 fn assert_broken(name: &str, model: &impl Model, property: &str) {
     let outcome = explore(model, &Options::default());
--- a/crates/sycamore-call/tests/decisions/retry.rs
+++ b/crates/sycamore-call/tests/decisions/retry.rs
@@ -1,4 +1,4 @@
-//! Retries.
+//! Tests of the retry policy and its budget.
 
 use super::common::ms;
 use sycamore_call::retry::CallState;
@@ -25,15 +25,18 @@
 const BROKEN: AttemptFailure = AttemptFailure::Unknown { crashed: false };
 const CRASHED: AttemptFailure = AttemptFailure::Unknown { crashed: true };
 
+/// Guards against a second run of a non-idempotent call, and against repeating a call that crashed
+/// its upstream.
 #[test]
-fn what_may_have_run_is_repeated_only_where_it_is_idempotent() {
+fn attempts_that_may_have_run_are_retried_only_if_idempotent() {
     assert!(!retries(CALL, BROKEN));
     assert!(retries(CallState { idempotent: true, ..CALL }, BROKEN));
     assert!(!retries(CallState { idempotent: true, ..CALL }, CRASHED));
 }
 
+/// Guards against failing a call that another upstream could take.
 #[test]
-fn refusals_of_one_upstream_go_elsewhere() {
+fn refusals_that_concern_one_upstream_are_retried() {
     for reason in [
         RefusalReason::Draining,
         RefusalReason::BadVersion,
@@ -44,8 +47,9 @@
     }
 }
 
+/// Guards against useless retries of refusals that any upstream would repeat.
 #[test]
-fn what_is_refused_everywhere_is_given_up() {
+fn refusals_that_concern_every_upstream_are_final() {
     for reason in [
         RefusalReason::Deadline,
         RefusalReason::Quarantined,
@@ -59,22 +63,25 @@
     assert!(retries(CALL, AttemptFailure::NotRun(RefusalReason::Overloaded)));
 }
 
+/// Guards against retries that multiply along a chain of calls.
 #[test]
-fn retries_are_not_retried_below() {
+fn a_retry_is_not_retried_by_a_node_below() {
     let below = CallState { is_retry: true, ..CALL };
     assert!(!retries(below, AttemptFailure::NotRun(RefusalReason::Overloaded)));
 }
 
+/// Guards against retries beyond the attempts that the policy allows or after the deadline.
 #[test]
-fn attempts_and_deadline_bound_retries() {
+fn retries_stop_at_the_maximum_attempts_and_the_deadline() {
     let draining = AttemptFailure::NotRun(RefusalReason::Draining);
     assert!(!retries(CallState { attempts: 3, rerouted: 0, ..CALL }, draining));
     let late = CallState { left: ms(0), ..CALL };
     assert!(!retries(late, AttemptFailure::NotRun(RefusalReason::Overloaded)));
 }
 
+/// Guards against a retry storm when every call is refused for load.
 #[test]
-fn the_budget_holds_over_many_calls() {
+fn retries_stay_within_the_budget_percentage() {
     let mut budget = budget();
     let mut retried = 0;
     for _ in 0..10_000 {
@@ -85,8 +92,9 @@
     assert!((990..=1_002).contains(&retried), "{retried} retries of 10,000 calls at 10%");
 }
 
+/// Guards against synchronised retries, and against a backoff beyond its bound.
 #[test]
-fn backoff_is_jittered_and_bounded() {
+fn backoff_has_full_jitter_below_its_bound() {
     let mut waits = Vec::new();
     for seed in 0..200 {
         let mut budget = RetryBudget::new(RetryConfig::default(), seed);
@@ -100,8 +108,10 @@
     assert!(waits.iter().any(|wait| *wait < ms(2)) && waits.iter().any(|wait| *wait > ms(8)));
 }
 
+/// Guards against free reroutes that use the budget, exceed their limit, happen without a known
+/// free upstream or follow an upstream's own refusal.
 #[test]
-fn a_refusal_for_load_goes_elsewhere_freely_a_few_times_where_there_is_room() {
+fn refusals_for_load_are_rerouted_for_free_up_to_the_limit() {
     let config = RetryConfig { free_reroutes: 2, attempts: 1, ..RetryConfig::default() };
     let mut budget = RetryBudget::new(config, 3);
     let refused = AttemptFailure::NotRun(RefusalReason::Overloaded);
