--- a/crates/sycamore-call/src/gate/mod.rs
+++ b/crates/sycamore-call/src/gate/mod.rs
@@ -1,87 +1,91 @@
-//! The gate of a version at its own node: a bad version takes nothing, an unproven one no more than
-//! its share, whatever the nodes of callers believe.
+//! Version gate at an upstream's own node: refuses calls to a bad version, and limits an unproven
+//! version to its traffic share, whatever share the callers' nodes apply.
 
 use crate::route::VersionBans;
 use sycamore_types::prelude::*;
 
-/// Calls that an unproven version runs at a time at least, so that its share can be measured.
-const MIN_RUNNING: u32 = 1;
+/// Minimum concurrency limit of an unproven version, in calls, so that its share can be measured.
+const MIN_CONCURRENT_CALLS: u32 = 1;
 
-/// What a relayed call says of the version that it was meant for.
+/// Properties of a relayed call that the gate checks.
 #[derive(Debug, Clone, Copy)]
 pub struct GateRequest<'a> {
-    /// The version that the caller's node chose.
+    /// Version that the caller's node chose.
     pub version: &'a UpstreamVersion,
-    /// The share that it went by.
+    /// Traffic share that the caller's node applied.
     pub share: Share,
-    /// A number drawn evenly from 0 to 9,999 for this call, the same at every node.
+    /// Number of 0 to 9,999, uniformly distributed over calls and equal for one call at every node.
     pub draw: u16,
 }
 
-/// Guards one upstream.
+/// Gate of one upstream's version.
 #[derive(Debug, Clone)]
 pub struct Gate {
     service: ServiceName,
     version: UpstreamVersion,
-    /// The share in force here; `None` for a proven version or a service that is not split.
+    /// Traffic share that caps the version; `None` for the stable version, for a version
+    /// with the whole share, and for a service that is not split.
     share: Option<Share>,
     banned: bool,
-    /// Calls that may run at a time under the share.
-    most_running: u32,
+    /// Maximum number of concurrent calls under the share.
+    concurrency_limit: u32,
 }
 
 impl Gate {
-    /// A gate of `version` of `service`, open until it learns of a share or a verdict.
+    /// Creates a gate of `version` of `service` that admits everything until it learns of a share
+    /// or a verdict.
     pub fn new(service: ServiceName, version: UpstreamVersion) -> Self {
-        Self { service, version, share: None, banned: false, most_running: u32::MAX }
+        Self { service, version, share: None, banned: false, concurrency_limit: u32::MAX }
     }
 
-    /// The version that it guards.
+    /// Returns the guarded version.
     pub fn version(&self) -> &UpstreamVersion {
         &self.version
     }
 
-    /// Whether the version was found bad.
+    /// Returns whether the guarded version is banned.
     pub fn is_banned(&self) -> bool {
         self.banned
     }
 
-    /// Takes the verdicts known here.
+    /// Closes the gate permanently if `bans` contains its version.
     pub fn learn(&mut self, bans: &VersionBans) {
         self.banned |= bans.contains(&self.service, &self.version);
     }
 
-    /// Takes the shares in force here, and the members that share the service's work.
+    /// Updates the cap from the traffic shares in force and the slots of the service's members.
     pub fn update(&mut self, shares: &ShareTable, view: &MemberView) {
-        self.share = capped_share(shares, &self.service, &self.version);
-        self.most_running = match self.share {
+        self.share = share_cap(shares, &self.service, &self.version);
+        self.concurrency_limit = match self.share {
             None => u32::MAX,
-            Some(share) => most_running(share, &self.service, &self.version, view),
+            Some(share) => concurrency_limit(share, &self.service, &self.version, view),
         };
     }
 
-    /// Refuses what the version must not take; `running` counts the calls that run here.
+    /// Checks whether the version may take a call while `running` calls run at the upstream.
     ///
     /// # Errors
-    /// [`RefusalReason::BadVersion`] or [`RefusalReason::ShareSpent`].
+    /// Returns [`RefusalReason::BadVersion`] where the version is banned, and
+    /// [`RefusalReason::ShareSpent`] where its share is exceeded or the call is meant for another
+    /// version.
     pub fn check(&self, req: &GateRequest<'_>, running: u32) -> Result<(), RefusalReason> {
         if self.banned {
             return Err(RefusalReason::BadVersion);
         }
         if *req.version != self.version {
-            // The upstream was replaced by another version since the caller's node chose it.
+            // The upstream was replaced by one of another version after the caller's node chose it.
             return Err(RefusalReason::ShareSpent);
         }
         let Some(share) = self.share else { return Ok(()) };
-        if running >= self.most_running || is_thinned_out(share, req) {
+        if running >= self.concurrency_limit || exceeds_share(share, req) {
             return Err(RefusalReason::ShareSpent);
         }
         Ok(())
     }
 }
 
-/// The share that caps `version`, where a move sets it below the whole.
-fn capped_share(
+/// Returns the share that caps `version`; `None` where no move limits it.
+fn share_cap(
     shares: &ShareTable,
     service: &ServiceName,
     version: &UpstreamVersion,
@@ -94,8 +98,9 @@
     }
 }
 
-/// The share of the service's slots, divided among the version's instances.
-fn most_running(
+/// Returns the concurrency limit of one instance: the share of the service's slots, divided by the
+/// number of instances of the version.
+fn concurrency_limit(
     share: Share,
     service: &ServiceName,
     version: &UpstreamVersion,
@@ -106,17 +111,17 @@
     }
     let slots: u32 = view.serving(service).map(|member| u32::from(member.slots)).sum();
     let instances = view.serving(service).filter(|member| member.version == *version).count();
-    let part = share.as_fraction() * f64::from(slots) / instances.max(1) as f64;
-    // A share is at most one, so that the product fits.
-    (part.ceil() as u32).max(MIN_RUNNING)
+    let per_instance = share.as_fraction() * f64::from(slots) / instances.max(1) as f64;
+    // A share is at most 1, so the product fits into a u32.
+    (per_instance.ceil() as u32).max(MIN_CONCURRENT_CALLS)
 }
 
-/// A caller's node that goes by a larger share than this node sends too much: of its calls, only the
-/// part passes that the smaller share allows.
-fn is_thinned_out(share: Share, req: &GateRequest<'_>) -> bool {
-    let (own, asked) = (share.basis_points(), req.share.basis_points());
-    if own == 0 {
+/// Returns whether to refuse a call of a caller's node that applies a larger share: of its calls,
+/// only the fraction passes that reduces its share to the one in force here.
+fn exceeds_share(share: Share, req: &GateRequest<'_>) -> bool {
+    let (in_force, applied) = (share.basis_points(), req.share.basis_points());
+    if in_force == 0 {
         return true;
     }
-    own < asked && u32::from(req.draw) * u32::from(asked) >= u32::from(own) * 10_000
+    in_force < applied && u32::from(req.draw) * u32::from(applied) >= u32::from(in_force) * 10_000
 }
