--- a/crates/sycamore-call/src/key/mod.rs
+++ b/crates/sycamore-call/src/key/mod.rs
@@ -1,8 +1,8 @@
-//! Idempotency keys: a repeat gets the recorded answer, or "in progress", or "outcome unknown",
-//! never a second run.
+//! Idempotency keys: a repeat of a keyed call gets the recorded answer, "in progress" or "outcome
+//! unknown", but never causes a second run.
 //!
-//! The node that owns a key among the members of the service ([`Ownership`]) keeps its record
-//! ([`KeyTable`]). Where it can't be sure that it would know of an earlier run, it runs nothing.
+//! The member of the service that owns a key ([`Ownership`]) keeps its record ([`KeyTable`]). An
+//! owner that might not know of an earlier run refuses to run the call.
 
 mod owner;
 mod table;
@@ -14,12 +14,12 @@
 
 use sycamore_types::prelude::*;
 
-/// Hash of a service and an idempotency key.
+/// Hash of a service name and an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyHash(pub u128);
 
 impl KeyHash {
-    /// The hash of `key` within `service`.
+    /// Computes the hash of `key` within `service`.
     pub fn of(service: &ServiceName, key: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(service.as_str().as_bytes());
@@ -29,7 +29,7 @@
     }
 }
 
-/// The first 16 bytes of a hash, as a number.
+/// Returns the first 16 bytes of `hash` as a big-endian number.
 pub(crate) fn first_bytes(hash: &blake3::Hash) -> u128 {
     let mut bytes = [0; 16];
     bytes.copy_from_slice(&hash.as_bytes()[..16]);
--- a/crates/sycamore-call/src/key/table.rs
+++ b/crates/sycamore-call/src/key/table.rs
@@ -1,4 +1,4 @@
-//! What is remembered of keyed calls, bounded in number, bytes and time.
+//! Records of keyed calls, bounded in number, size and time.
 
 use super::KeyHash;
 use std::collections::BTreeMap;
@@ -8,11 +8,11 @@
 /// Settings of a [`KeyTable`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct KeyTableConfig {
-    /// Keys remembered at most; beyond, new keyed calls are refused.
+    /// Maximum number of keys remembered; further keyed calls are refused.
     pub entries: usize,
-    /// Bytes of answers kept at most, in all.
+    /// Maximum total size of the recorded answers, in bytes.
     pub bytes: usize,
-    /// Longest answer kept, in bytes.
+    /// Maximum size of a recorded answer, in bytes.
     pub answer_bytes: usize,
     /// Time for which a key is remembered after its call ended.
     pub memory: Duration,
@@ -29,44 +29,44 @@
     }
 }
 
-/// What to do with a keyed call.
+/// Decision on a keyed call, with a recorded answer of type `A`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum KeyDecision<A> {
-    /// Run it; [`KeyTable::finish`] must follow.
+    /// The call must run; [`KeyTable::finish`] must follow.
     Run,
-    /// The same call runs right now.
+    /// A call with the same key and request is running.
     InProgress,
-    /// It ran; this is its answer.
+    /// The call ran; holds its recorded answer.
     Replay(A),
-    /// It may have run, or ran and its answer was not kept.
+    /// The call may have run, or its answer was not recorded.
     Unknown,
     /// The key was used for another request.
     Mismatch,
-    /// No more keys can be remembered: it is not run.
+    /// The table is full, so that the call must not run.
     Full,
 }
 
-/// How a keyed call ended.
+/// Outcome of a keyed call, with an answer of type `A`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum KeyEnd<A> {
-    /// It ran; this is its answer, of so many bytes.
+    /// The call ran; holds its answer and the answer's size in bytes.
     Answered(A, usize),
-    /// It ran, and its answer is too long or was cut.
+    /// The call ran, but its answer is too long or incomplete.
     AnswerLost,
-    /// It certainly did not run.
+    /// The call certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
-/// What a node hands over with a key.
+/// Reply of a node that is asked to release a key, with a recorded answer of type `A`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Released<A> {
-    /// It has not run here within the memory, and won't.
+    /// The call has not run here within the memory, and won't.
     NotRun,
-    /// It ran here, with this answer.
+    /// The call ran here; holds its recorded answer.
     Answered(A),
-    /// It runs here right now, or may have run.
+    /// The call is running here or may have run.
     Unknown,
 }
 
@@ -75,7 +75,7 @@
     Running,
     Answered(A, usize),
     Unknown,
-    /// Handed over to another node.
+    /// The key was released to another node.
     Released,
 }
 
@@ -83,11 +83,11 @@
 struct Entry<A> {
     request: u64,
     record: Record<A>,
-    /// `None` while it runs.
+    /// Time at which the record expires; `None` while the call runs.
     expires: Option<Time>,
 }
 
-/// Records of keyed calls, with answers of type `A`.
+/// Table of keyed calls and their recorded answers of type `A`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct KeyTable<A> {
     config: KeyTableConfig,
@@ -96,29 +96,30 @@
 }
 
 impl<A: Clone> KeyTable<A> {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(config: KeyTableConfig) -> Self {
         Self { config, entries: BTreeMap::new(), bytes: 0 }
     }
 
-    /// Number of keys remembered.
+    /// Returns the number of keys remembered.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether no key is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Longest answer kept, in bytes.
+    /// Returns the maximum size of a recorded answer, in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.config.answer_bytes
     }
 
-    /// Decides on a call with `key`; `request` is a hash of the request, to tell misuse of a key.
+    /// Decides on a call with `key` and claims the key if the call is to run; `request` is a hash
+    /// of the request, which detects a key used for different requests.
     pub fn begin(&mut self, now: Time, key: KeyHash, request: u64) -> KeyDecision<A> {
-        self.forget(now);
+        self.remove_expired(now);
         if let Some(entry) = self.entries.get(&key) {
             return entry.decide(request);
         }
@@ -129,14 +130,15 @@
         KeyDecision::Run
     }
 
-    /// What is known of `key`, without a claim on it; `None` where nothing is.
+    /// Returns the decision on a call with `key` without claiming the key; `None` where it is
+    /// unknown.
     pub fn peek(&self, now: Time, key: KeyHash, request: u64) -> Option<KeyDecision<A>> {
         let entry = self.entries.get(&key)?;
         let expired = entry.expires.is_some_and(|expires| expires <= now);
         (!expired).then(|| entry.decide(request))
     }
 
-    /// Records how the call with `key` ended.
+    /// Records the outcome of the call with `key`.
     pub fn finish(&mut self, now: Time, key: KeyHash, end: KeyEnd<A>) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
         if !matches!(entry.record, Record::Running) {
@@ -158,22 +160,22 @@
         };
     }
 
-    /// Hands `key` over to another node: it is never run here again within the memory.
+    /// Releases `key` to another node: within the memory the call is never run here again.
     pub fn release(&mut self, now: Time, key: KeyHash) -> Released<A> {
-        self.forget(now);
+        self.remove_expired(now);
         match self.entries.get(&key).map(|entry| &entry.record) {
             None => {
                 let expires = Some(now + self.config.memory);
                 self.entries.insert(key, Entry { request: 0, record: Record::Released, expires });
                 Released::NotRun
             }
-            // A key released before may have run at whoever took it.
+            // The node that a key was released to earlier may have run the call.
             Some(Record::Released | Record::Running | Record::Unknown) => Released::Unknown,
             Some(Record::Answered(answer, _)) => Released::Answered(answer.clone()),
         }
     }
 
-    fn forget(&mut self, now: Time) {
+    fn remove_expired(&mut self, now: Time) {
         let bytes = &mut self.bytes;
         self.entries.retain(|_, entry| {
             let kept = entry.expires.is_none_or(|expires| now < expires);
@@ -187,8 +189,8 @@
 
 impl<A: Clone> Entry<A> {
     fn decide(&self, request: u64) -> KeyDecision<A> {
-        let known = !matches!(self.record, Record::Released);
-        if known && self.request != request {
+        let has_request = !matches!(self.record, Record::Released);
+        if has_request && self.request != request {
             return KeyDecision::Mismatch;
         }
         match &self.record {
--- a/crates/sycamore-call/src/key/unread.rs
+++ b/crates/sycamore-call/src/key/unread.rs
@@ -1,47 +1,48 @@
-//! How long a request may have lain unread before a node took it in.
+//! Upper bound of the time for which a request waited in a socket before the node read it.
 //!
-//! Requests that reach a frozen process wait in its sockets and carry no time of their own. What is
-//! known is when the process last ran: a request read now was sent before that at the earliest
-//! where an earlier reading would have found it.
+//! Requests that reach a suspended process wait in its sockets and carry no time of arrival. The
+//! only known time is when the process last ran: a request read now was sent no earlier than that,
+//! unless it waited behind others of its connection.
 
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// Longest time for which a request lies behind others of its connection: callers wait no longer.
-const BEHIND_OTHERS: Duration = Duration::from_secs(60);
+/// Maximum time for which a request waits behind others of its connection; no caller waits longer.
+const MAX_PIPELINED_WAIT: Duration = Duration::from_secs(60);
 
-/// Shortest gap between two ticks that is taken for a pause: twice the time between ticks of a node.
-const PAUSE: Duration = Duration::from_secs(1);
+/// Minimum gap between two ticks that counts as a suspension: twice the tick interval of a node.
+const MIN_SUSPENSION: Duration = Duration::from_secs(1);
 
-/// What a process knows of its own pauses.
+/// Tracker of the suspensions of this process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Unread {
-    ticked: Time,
-    /// Length of the longest pause that may still matter, and the end of the last.
-    pause: Option<(Duration, Time)>,
+    last_tick: Time,
+    /// Duration of the longest suspension that may still matter, and the end of the latest one.
+    suspension: Option<(Duration, Time)>,
 }
 
 impl Unread {
-    /// The knowledge of a process that has just started.
+    /// Creates the tracker of a process that started at `now`.
     pub fn new(now: Time) -> Self {
-        Self { ticked: now, pause: None }
+        Self { last_tick: now, suspension: None }
     }
 
-    /// Must be called at even times; every gap between two calls may have been a pause.
+    /// Records that the process is running; must be called at regular intervals, since any longer
+    /// gap counts as a suspension.
     pub fn tick(&mut self, now: Time) {
-        let gap = now.since(self.ticked);
-        self.ticked = now;
-        self.pause = self.pause.filter(|(_, end)| now.since(*end) < BEHIND_OTHERS);
-        if gap >= PAUSE {
-            let longest = self.pause.map_or(gap, |(pause, _)| pause.max(gap));
-            self.pause = Some((longest, now));
+        let gap = now.since(self.last_tick);
+        self.last_tick = now;
+        self.suspension = self.suspension.filter(|(_, end)| now.since(*end) < MAX_PIPELINED_WAIT);
+        if gap >= MIN_SUSPENSION {
+            let longest = self.suspension.map_or(gap, |(duration, _)| duration.max(gap));
+            self.suspension = Some((longest, now));
         }
     }
 
-    /// Longest time that a request read at `now` may have waited in the process's sockets.
+    /// Returns the maximum time that a request read at `now` may have waited in a socket.
     pub fn longest(&self, now: Time) -> Duration {
-        let under_way = Some(now.since(self.ticked)).filter(|gap| *gap >= PAUSE);
-        let over = self.pause.map(|(pause, _)| pause);
-        under_way.max(over).unwrap_or_default()
+        let ongoing = Some(now.since(self.last_tick)).filter(|gap| *gap >= MIN_SUSPENSION);
+        let past = self.suspension.map(|(duration, _)| duration);
+        ongoing.max(past).unwrap_or_default()
     }
 }
--- a/crates/sycamore-call/tests/decisions/key.rs
+++ b/crates/sycamore-call/tests/decisions/key.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys: the record and its bounds. Ownership is covered by the model.
+//! Tests of the records of idempotency keys, their bounds and the rules of ownership; the model
+//! tests cover ownership under faults.
 
 use super::common::{at, instance, ms};
 use sycamore_call::key::{owner_of, KeyEnd, Members, OwnershipConfig, Released};
@@ -11,8 +12,10 @@
     KeyTable::new(KeyTableConfig { entries: 3, bytes: 10, answer_bytes: 6, memory: ms(1_000) })
 }
 
+/// Guards against a second run of a keyed call, and against replaying an answer to a different
+/// request.
 #[test]
-fn a_repeat_gets_what_is_known() {
+fn a_repeat_gets_the_recorded_outcome() {
     let mut table = table();
     assert_eq!(table.begin(at(0), KEY, 1), KeyDecision::Run);
     assert_eq!(table.begin(at(1), KEY, 1), KeyDecision::InProgress);
@@ -21,8 +24,10 @@
     assert_eq!(table.begin(at(3), KEY, 2), KeyDecision::Mismatch);
 }
 
+/// Guards against running a call again whose outcome is unknown, and against blocking one that
+/// never ran.
 #[test]
-fn what_did_not_run_may_run_and_what_may_have_run_may_not() {
+fn only_calls_that_did_not_run_may_run_again() {
     let mut table = table();
     table.begin(at(0), KEY, 1);
     table.finish(at(1), KEY, KeyEnd::NotRun);
@@ -31,18 +36,25 @@
     assert_eq!(table.begin(at(4), KEY, 1), KeyDecision::Unknown);
 }
 
+/// Guards against a record that expires while its call still runs, or whose time counts from the
+/// start.
 #[test]
-fn records_last_for_the_memory_after_the_end() {
+fn records_expire_after_the_memory_from_the_end_of_the_call() {
     let mut table = table();
     table.begin(at(0), KEY, 1);
-    assert_eq!(table.begin(at(50_000), KEY, 1), KeyDecision::InProgress, "however long it runs");
+    assert_eq!(
+        table.begin(at(50_000), KEY, 1),
+        KeyDecision::InProgress,
+        "a running call doesn't expire"
+    );
     table.finish(at(50_000), KEY, KeyEnd::Answered("done", 4));
     assert_eq!(table.begin(at(50_999), KEY, 1), KeyDecision::Replay("done"));
     assert_eq!(table.begin(at(51_000), KEY, 1), KeyDecision::Run);
 }
 
+/// Guards against evicting a record to make space, which would let its call run again.
 #[test]
-fn memory_is_bounded_and_nothing_is_forgotten_for_it() {
+fn a_full_table_refuses_new_keys_and_keeps_old_ones() {
     let mut table = table();
     for key in 1..=3 {
         assert_eq!(table.begin(at(0), KeyHash(key), 1), KeyDecision::Run);
@@ -50,28 +62,31 @@
     }
     assert_eq!(table.begin(at(2), KeyHash(4), 1), KeyDecision::Full);
     assert_eq!(table.begin(at(2), KeyHash(2), 1), KeyDecision::Replay("12345"));
-    // The third answer was over the bytes in all: it ran, and is not run again.
+    // The third answer would exceed the total size: its call ran, and must not run again.
     assert_eq!(table.begin(at(2), KeyHash(3), 1), KeyDecision::Unknown);
     assert_eq!(table.len(), 3);
 }
 
+/// Guards against a second run because the answer was too long to record.
 #[test]
-fn an_answer_that_is_too_long_is_unknown_and_not_run_again() {
+fn a_call_with_an_oversized_answer_is_not_run_again() {
     let mut table = table();
     table.begin(at(0), KEY, 1);
     table.finish(at(1), KEY, KeyEnd::Answered("1234567", 7));
     assert_eq!(table.begin(at(2), KEY, 1), KeyDecision::Unknown);
 }
 
+/// Guards against a run by both nodes after a key changed its owner, and against reporting "not
+/// run" for a key that was released before or is running.
 #[test]
-fn a_released_key_is_never_run_here_and_released_once() {
+fn a_released_key_does_not_run_here_again() {
     let mut table = table();
     assert_eq!(table.release(at(0), KEY), Released::NotRun);
     assert_eq!(table.begin(at(1), KEY, 1), KeyDecision::Unknown);
     assert_eq!(table.release(at(2), KEY), Released::Unknown);
     let other = KeyHash(8);
     table.begin(at(3), other, 1);
-    assert_eq!(table.release(at(4), other), Released::Unknown, "it runs right now");
+    assert_eq!(table.release(at(4), other), Released::Unknown, "the call is running");
     table.finish(at(5), other, KeyEnd::Answered("done", 4));
     assert_eq!(table.release(at(6), other), Released::Answered("done"));
 }
@@ -80,20 +95,26 @@
     names.iter().map(|name| (instance(name), Incarnation(1))).collect()
 }
 
-fn ownership(me: &str, now: Time) -> Ownership {
-    let config =
-        OwnershipConfig { memory: ms(800), lag: ms(200), pause: ms(2_000), ..Default::default() };
-    Ownership::new(instance(me), config, now)
+fn ownership(own_id: &str, now: Time) -> Ownership {
+    let config = OwnershipConfig {
+        memory: ms(800),
+        lag: ms(200),
+        max_tick_gap: ms(2_000),
+        ..Default::default()
+    };
+    Ownership::new(instance(own_id), config, now)
 }
 
-/// A key that `owner` owns among `names`.
+/// Returns a key that `owner` owns among `names`.
 fn key_of(owner: &str, names: &[&str]) -> KeyHash {
     let owns = |key: &u128| owner_of(&members(names), KeyHash(*key)) == Some(&instance(owner));
     KeyHash((0..1_000).find(owns).unwrap())
 }
 
+/// Guards against an uneven distribution of keys, and against owners that change although they
+/// stay.
 #[test]
-fn keys_are_spread_evenly_and_only_a_leavers_keys_move() {
+fn keys_are_balanced_and_only_those_of_a_leaving_member_move() {
     let all = members(&["x", "y", "z"]);
     let fewer = members(&["x", "y"]);
     let mut owned = 0;
@@ -108,21 +129,25 @@
     assert!((900..=1_100).contains(&owned), "{owned}");
 }
 
+/// Guards against a run by an owner that has just started or was suspended and may not know of an
+/// earlier run.
 #[test]
-fn an_owner_is_sure_once_it_has_owned_the_key_for_the_memory() {
+fn an_owner_is_certain_after_owning_the_key_for_the_whole_window() {
     let key = key_of("x", &["x", "y"]);
     let mut x = ownership("x", at(0));
     x.update(at(0), members(&["x", "y"]), Members::new());
     assert_eq!(x.standing(at(10), key), Standing::OwnerAfter(vec![instance("y")]));
     x.tick(at(1_000));
     assert_eq!(x.standing(at(1_000), key), Standing::Owner);
-    assert_eq!(x.standing(at(3_001), key), Standing::InDoubt, "it was paused");
+    assert_eq!(x.standing(at(3_001), key), Standing::InDoubt, "the node was suspended");
     x.tick(at(3_001));
     assert_eq!(x.standing(at(3_001), key), Standing::OwnerAfter(vec![instance("y")]));
 }
 
+/// Guards against a run by an owner while another member doesn't have it in view and may consider
+/// itself the owner.
 #[test]
-fn an_owner_asks_a_member_that_may_not_know_it() {
+fn an_owner_asks_members_that_have_not_confirmed_it() {
     let key = key_of("x", &["x", "y", "z"]);
     let mut x = ownership("x", at(0));
     x.update(at(0), members(&["x", "y", "z"]), Members::new());
@@ -132,24 +157,26 @@
     assert_eq!(x.unsure().collect::<Vec<_>>(), [&instance("z")], "only members in view are asked");
 }
 
+/// Guards against a second run by the new owner when the previous owner leaves or vanishes.
 #[test]
-fn a_new_owner_asks_the_earlier_one_while_that_is_there() {
+fn a_new_owner_asks_the_previous_one_while_it_is_present() {
     let key = key_of("x", &["x", "y", "z"]);
     let next = owner_of(&members(&["y", "z"]), key).unwrap().to_string();
-    let mut heir = ownership(&next, at(0));
-    heir.update(at(0), members(&["x", "y", "z"]), Members::new());
-    heir.tick(at(1_500));
-    assert_eq!(heir.standing(at(1_500), key), Standing::Other(instance("x")));
-    heir.update(at(1_600), members(&["y", "z"]), members(&["x"]));
-    assert_eq!(heir.standing(at(1_600), key), Standing::OwnerAfter(vec![instance("x")]));
-    heir.update(at(1_700), members(&["y", "z"]), Members::new());
-    assert_eq!(heir.standing(at(1_700), key), Standing::InDoubt);
-    heir.tick(at(2_600));
-    assert_eq!(heir.standing(at(2_600), key), Standing::Owner);
+    let mut new_owner = ownership(&next, at(0));
+    new_owner.update(at(0), members(&["x", "y", "z"]), Members::new());
+    new_owner.tick(at(1_500));
+    assert_eq!(new_owner.standing(at(1_500), key), Standing::Other(instance("x")));
+    new_owner.update(at(1_600), members(&["y", "z"]), members(&["x"]));
+    assert_eq!(new_owner.standing(at(1_600), key), Standing::OwnerAfter(vec![instance("x")]));
+    new_owner.update(at(1_700), members(&["y", "z"]), Members::new());
+    assert_eq!(new_owner.standing(at(1_700), key), Standing::InDoubt);
+    new_owner.tick(at(2_600));
+    assert_eq!(new_owner.standing(at(2_600), key), Standing::Owner);
 }
 
+/// Guards against runs on both sides of a network partition.
 #[test]
-fn the_smaller_side_of_a_cut_runs_nothing() {
+fn the_minority_side_of_a_partition_runs_no_keyed_calls() {
     let mut x = ownership("x", at(0));
     x.update(at(0), members(&["x", "y", "z"]), Members::new());
     x.tick(at(1_500));
--- a/crates/sycamore-call/tests/decisions/model/key.rs
+++ b/crates/sycamore-call/tests/decisions/model/key.rs
@@ -1,8 +1,9 @@
-//! Three nodes of one service, one idempotency key: it runs at most once within the memory, while
-//! nodes crash, restart, freeze and are cut off, views differ, and answers between them are lost.
+//! Model of an idempotency key and three nodes of one service: the call runs at most once within
+//! the memory, while nodes crash, restart and are suspended, the network is partitioned, views
+//! differ, and answers between nodes are lost.
 //!
-//! What the environment grants: an unfrozen node learns within one unit of time which members it
-//! can reach. A freeze of one unit goes unnoticed by the frozen node itself.
+//! The environment guarantees that a running node learns within one unit of time which members it
+//! can reach. A suspension of one unit goes unnoticed by the suspended node.
 
 use super::{assert_broken, assert_holds};
 use crate::common::instance;
@@ -16,27 +17,27 @@
 const NODES: usize = 3;
 const UNIT: Duration = Duration::from_secs(1);
 const REQUEST: u64 = 1;
-/// Time after which a service is out of doubt, in units.
-const SETTLED: u8 = 4;
+/// Time after which the ownership of all keys is certain, in units.
+const CERTAIN_AFTER: u8 = 4;
 
 fn at(units: u8) -> Time {
     Time::from_secs(u64::from(units))
 }
 
-/// Which nodes reach which: nodes with the same number do.
+/// Side of the partition on which each node is; nodes of one side reach each other.
 type Sides = [u8; NODES];
 
-const CUTS: [Sides; 3] = [[0, 0, 0], [1, 0, 0], [0, 1, 0]];
+const PARTITIONS: [Sides; 3] = [[0, 0, 0], [1, 0, 0], [0, 1, 0]];
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct Node {
     alive: bool,
-    frozen: bool,
+    suspended: bool,
     incarnation: u64,
     ownership: Ownership,
     table: KeyTable<u8>,
-    /// Since when its view differs from what it can reach.
-    differs: Option<u8>,
+    /// Time from which the node's view has differed from the members that it can reach.
+    view_differs_since: Option<u8>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
@@ -44,10 +45,10 @@
     now: u8,
     nodes: Vec<Node>,
     sides: Sides,
-    /// Time of the last run, and the shortest time between two.
+    /// Time of the last run, in units.
     last_run: Option<u8>,
-    too_soon: bool,
-    /// Events that the environment still has.
+    ran_twice_within_memory: bool,
+    /// Number of faults that the environment may still cause.
     faults: u8,
     requests: u8,
 }
@@ -58,9 +59,9 @@
     Learn(usize),
     Crash(usize),
     Restart(usize),
-    Freeze(usize),
-    Thaw(usize),
-    Cut(Sides),
+    Suspend(usize),
+    Resume(usize),
+    Partition(Sides),
     Request { node: usize, ask_lost: bool },
 }
 
@@ -68,15 +69,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Action::Advance => write!(f, "time passes"),
-            Action::Learn(node) => write!(f, "node {node} learns whom it reaches"),
+            Action::Learn(node) => write!(f, "node {node} learns which members it reaches"),
             Action::Crash(node) => write!(f, "node {node} crashes"),
             Action::Restart(node) => write!(f, "node {node} restarts"),
-            Action::Freeze(node) => write!(f, "node {node} freezes"),
-            Action::Thaw(node) => write!(f, "node {node} thaws"),
-            Action::Cut(sides) => write!(f, "the network becomes {sides:?}"),
+            Action::Suspend(node) => write!(f, "node {node} is suspended"),
+            Action::Resume(node) => write!(f, "node {node} resumes"),
+            Action::Partition(sides) => write!(f, "the network is partitioned as {sides:?}"),
             Action::Request { node, ask_lost: false } => write!(f, "node {node} gets the call"),
             Action::Request { node, ask_lost: true } => {
-                write!(f, "node {node} gets the call, and the answers to what it asks are lost")
+                write!(f, "node {node} gets the call, and the answers to its queries are lost")
             }
         }
     }
@@ -86,12 +87,12 @@
     ownership: OwnershipConfig,
     /// Memory of the records, in units.
     remembered: u8,
-    /// Time that must lie between two runs, in units.
+    /// Minimum time that must lie between two runs, in units.
     promised: u8,
     units: u8,
     faults: u8,
     requests: u8,
-    /// Restarted nodes take a new incarnation.
+    /// `true` where a restarted node gets a new incarnation.
     incarnations: bool,
     key: KeyHash,
 }
@@ -102,7 +103,7 @@
             ownership: OwnershipConfig {
                 memory: UNIT * 2,
                 lag: UNIT * 2,
-                pause: UNIT,
+                max_tick_gap: UNIT,
                 ..OwnershipConfig::default()
             },
             remembered: 2,
@@ -111,13 +112,13 @@
             faults: 1,
             requests: 2,
             incarnations: true,
-            key: key_in_order(),
+            key: key_owned_by_node_0_then_1(),
         }
     }
 }
 
-/// A key owned by node 0, then 1, then 2.
-fn key_in_order() -> KeyHash {
+/// Returns a key owned by node 0 or, without it, by node 1.
+fn key_owned_by_node_0_then_1() -> KeyHash {
     let all = members([0, 1, 2].map(|i| (i, 1)));
     let rest = members([1, 2].map(|i| (i, 1)));
     let fits = |key: &u128| {
@@ -140,20 +141,20 @@
         let memory = UNIT * u32::from(self.remembered);
         Node {
             alive: true,
-            frozen: false,
+            suspended: false,
             incarnation,
             ownership: Ownership::new(name(node), self.ownership.clone(), at(now)),
             table: KeyTable::new(KeyTableConfig { memory, ..KeyTableConfig::default() }),
-            differs: Some(now),
+            view_differs_since: Some(now),
         }
     }
 
-    /// Members that `node` can reach.
+    /// Returns the members that `node` can reach.
     fn reachable(&self, state: &State, node: usize) -> Members {
         let reached = (0..NODES).filter(|other| {
             let there = &state.nodes[*other];
-            let awake = there.alive && (!there.frozen || *other == node);
-            awake && state.sides[*other] == state.sides[node]
+            let is_running = there.alive && (!there.suspended || *other == node);
+            is_running && state.sides[*other] == state.sides[node]
         });
         members(reached.map(|other| (other, self.incarnation(state, other))))
     }
@@ -167,7 +168,7 @@
 
     fn topology_changed(&self, state: &mut State) {
         for node in &mut state.nodes {
-            node.differs = node.differs.or(Some(state.now));
+            node.view_differs_since = node.view_differs_since.or(Some(state.now));
         }
     }
 
@@ -175,25 +176,25 @@
         let view = self.reachable(state, node);
         let now = at(state.now);
         state.nodes[node].ownership.update(now, view, Members::new());
-        state.nodes[node].differs = None;
+        state.nodes[node].view_differs_since = None;
     }
 
     fn may_advance(&self, state: &State) -> bool {
         state.now < self.units
             && state.nodes.iter().all(|node| {
-                let late = node.differs.is_some_and(|since| since < state.now);
-                !node.alive || node.frozen || !late
+                let late = node.view_differs_since.is_some_and(|since| since < state.now);
+                !node.alive || node.suspended || !late
             })
     }
 
     fn advance(&self, state: &mut State) {
         state.now += 1;
-        for node in state.nodes.iter_mut().filter(|node| node.alive && !node.frozen) {
+        for node in state.nodes.iter_mut().filter(|node| node.alive && !node.suspended) {
             node.ownership.tick(at(state.now));
         }
     }
 
-    /// The daemon's handling of a keyed call at the node that is taken for its owner.
+    /// Handles a keyed call as a node does that is considered the key's owner.
     fn request(&self, state: &mut State, node: usize, ask_lost: bool) {
         let now = at(state.now);
         if state.nodes[node].table.peek(now, self.key, REQUEST).is_some() {
@@ -230,7 +231,7 @@
         };
         let there = state.sides[other] == state.sides[node];
         let other = &mut state.nodes[other];
-        if !other.alive || other.frozen || !there {
+        if !other.alive || other.suspended || !there {
             return Released::Unknown;
         }
         let certain = other.ownership.knows_all(now, self.key, (&asker.0, asker.1));
@@ -242,8 +243,9 @@
     }
 
     fn run(&self, state: &mut State) {
-        let too_soon = state.last_run.is_some_and(|last| state.now - last < self.promised);
-        state.too_soon |= too_soon;
+        let ran_twice_within_memory =
+            state.last_run.is_some_and(|last| state.now - last < self.promised);
+        state.ran_twice_within_memory |= ran_twice_within_memory;
         state.last_run = Some(state.now);
     }
 
@@ -254,7 +256,7 @@
             Action::Learn(node) => self.learn(&mut next, node),
             Action::Crash(node) => {
                 next.nodes[node].alive = false;
-                next.nodes[node].frozen = false;
+                next.nodes[node].suspended = false;
                 self.topology_changed(&mut next);
                 next.faults -= 1;
             }
@@ -263,16 +265,16 @@
                 next.nodes[node] = self.fresh(node, next.now, incarnation);
                 self.topology_changed(&mut next);
             }
-            Action::Freeze(node) => {
-                next.nodes[node].frozen = true;
+            Action::Suspend(node) => {
+                next.nodes[node].suspended = true;
                 self.topology_changed(&mut next);
                 next.faults -= 1;
             }
-            Action::Thaw(node) => {
-                next.nodes[node].frozen = false;
+            Action::Resume(node) => {
+                next.nodes[node].suspended = false;
                 self.topology_changed(&mut next);
             }
-            Action::Cut(sides) => {
+            Action::Partition(sides) => {
                 next.sides = sides;
                 self.topology_changed(&mut next);
                 next.faults -= 1;
@@ -291,20 +293,20 @@
             actions.push(Action::Advance);
         }
         for (i, node) in state.nodes.iter().enumerate() {
-            let awake = node.alive && !node.frozen;
-            if awake && node.differs.is_some() {
+            let is_running = node.alive && !node.suspended;
+            if is_running && node.view_differs_since.is_some() {
                 actions.push(Action::Learn(i));
             }
-            if awake && state.faults > 0 {
-                actions.extend([Action::Crash(i), Action::Freeze(i)]);
+            if is_running && state.faults > 0 {
+                actions.extend([Action::Crash(i), Action::Suspend(i)]);
             }
             if !node.alive {
                 actions.push(Action::Restart(i));
             }
-            if node.frozen {
-                actions.push(Action::Thaw(i));
+            if node.suspended {
+                actions.push(Action::Resume(i));
             }
-            if awake && state.requests > 0 {
+            if is_running && state.requests > 0 {
                 actions.push(Action::Request { node: i, ask_lost: false });
                 let standing = node.ownership.standing(at(state.now), self.key);
                 if matches!(standing, Standing::OwnerAfter(_)) {
@@ -312,8 +314,9 @@
                 }
             }
         }
-        let cuts = CUTS.into_iter().filter(|cut| state.faults > 0 && *cut != state.sides);
-        actions.extend(cuts.map(Action::Cut));
+        let partitions =
+            PARTITIONS.into_iter().filter(|sides| state.faults > 0 && *sides != state.sides);
+        actions.extend(partitions.map(Action::Partition));
         actions
     }
 }
@@ -323,14 +326,14 @@
     type Action = Action;
 
     fn starts(&self) -> Vec<State> {
-        // A service that has been up for long enough, all views alike.
-        let now = SETTLED;
+        // The service has been up long enough for certain ownership, and all views are equal.
+        let now = CERTAIN_AFTER;
         let mut state = State {
             now: 0,
             nodes: (0..NODES).map(|node| self.fresh(node, 0, 1)).collect(),
-            sides: CUTS[0],
+            sides: PARTITIONS[0],
             last_run: None,
-            too_soon: false,
+            ran_twice_within_memory: false,
             faults: self.faults,
             requests: self.requests,
         };
@@ -348,7 +351,7 @@
     }
 
     fn check(&self, state: &State) -> Result<(), String> {
-        if state.too_soon {
+        if state.ran_twice_within_memory {
             return Err("the keyed call ran twice within the memory".into());
         }
         Ok(())
@@ -357,45 +360,58 @@
 
 const TWICE: &str = "ran twice";
 
+/// Guards against a second run of a keyed call within the memory, over every order of faults that
+/// the model has.
 #[test]
 fn a_keyed_call_runs_at_most_once() {
     assert_holds("idempotency key", &Keys::default());
 }
 
+/// Guards against a model too weak to find the second run by an owner that was suspended and trusts
+/// its old views.
 #[test]
-fn without_the_check_of_pauses_a_thawed_owner_runs_it_again() {
-    let ownership = OwnershipConfig { pause: UNIT * 100, ..Keys::default().ownership };
-    assert_broken("no pause check", &Keys { ownership, ..Keys::default() }, TWICE);
+fn without_suspension_checks_a_resumed_owner_runs_the_call_again() {
+    let ownership = OwnershipConfig { max_tick_gap: UNIT * 100, ..Keys::default().ownership };
+    assert_broken("no suspension check", &Keys { ownership, ..Keys::default() }, TWICE);
 }
 
+/// Guards against a model too weak to find the runs on both sides of a network partition.
 #[test]
-fn without_the_majority_both_sides_of_a_cut_run_it() {
-    let ownership = OwnershipConfig { lost: Duration::ZERO, ..Keys::default().ownership };
+fn without_the_majority_rule_both_sides_of_a_partition_run_the_call() {
+    let ownership = OwnershipConfig { lost_retention: Duration::ZERO, ..Keys::default().ownership };
     assert_broken("no majority", &Keys { ownership, ..Keys::default() }, TWICE);
 }
 
+/// Guards against a model too weak to find the second run by a new owner that doesn't ask the
+/// previous one.
 #[test]
-fn without_doubt_a_new_owner_runs_what_the_lost_one_ran() {
+fn without_the_uncertainty_window_a_new_owner_repeats_the_lost_owners_run() {
     let ownership = OwnershipConfig {
         memory: Duration::ZERO,
         lag: Duration::ZERO,
         ..Keys::default().ownership
     };
-    assert_broken("no doubt", &Keys { ownership, ..Keys::default() }, TWICE);
+    assert_broken("no uncertainty window", &Keys { ownership, ..Keys::default() }, TWICE);
 }
 
+/// Guards against a model too weak to find the second run by an earlier owner that learns of the
+/// new view late.
 #[test]
-fn without_the_lag_views_that_differ_for_a_while_let_it_run_twice() {
+fn without_the_lag_differing_views_allow_a_second_run() {
     let ownership = OwnershipConfig { lag: Duration::ZERO, ..Keys::default().ownership };
     assert_broken("no lag", &Keys { ownership, ..Keys::default() }, TWICE);
 }
 
+/// Guards against a model too weak to find the second run by an owner that lost its records in a
+/// restart under the same identity.
 #[test]
-fn without_incarnations_a_restarted_owner_runs_it_again() {
+fn without_incarnations_a_restarted_owner_runs_the_call_again() {
     assert_broken("no incarnations", &Keys { incarnations: false, ..Keys::default() }, TWICE);
 }
 
+/// Guards against a model too weak to find the second run when records expire before the promised
+/// memory.
 #[test]
-fn records_must_last_as_long_as_the_promise() {
+fn records_that_expire_early_allow_a_second_run() {
     assert_broken("short records", &Keys { remembered: 1, ..Keys::default() }, TWICE);
 }
--- a/crates/sycamore-call/tests/decisions/unread.rs
+++ b/crates/sycamore-call/tests/decisions/unread.rs
@@ -1,4 +1,4 @@
-//! How long a request may have lain unread.
+//! Tests of the bound on the time that a request waited in a socket.
 
 use std::time::Duration;
 use sycamore_call::key::Unread;
@@ -8,27 +8,31 @@
     Time(ms * 1_000)
 }
 
-fn ticked_to(end_ms: u64) -> Unread {
+fn ticking_until(end_ms: u64) -> Unread {
     let mut unread = Unread::new(at(0));
     (500..=end_ms).step_by(500).for_each(|ms| unread.tick(at(ms)));
     unread
 }
 
+/// Guards against taking the regular tick interval for a suspension.
 #[test]
-fn a_process_that_runs_reads_at_once() {
-    let unread = ticked_to(10_000);
+fn a_running_process_reads_without_delay() {
+    let unread = ticking_until(10_000);
     assert_eq!(unread.longest(at(10_900)), Duration::ZERO);
 }
 
+/// Guards against treating a request as new that was sent before the process was suspended.
 #[test]
-fn what_is_read_first_after_a_pause_may_be_as_old_as_the_pause() {
-    let unread = ticked_to(10_000);
+fn a_request_read_after_a_suspension_may_be_as_old_as_it() {
+    let unread = ticking_until(10_000);
     assert_eq!(unread.longest(at(90_000)), Duration::from_secs(80));
 }
 
+/// Guards against forgetting a suspension at its end, while requests sent before it still wait
+/// behind others on a connection.
 #[test]
-fn requests_behind_others_are_read_after_the_tick_that_ends_a_pause() {
-    let mut unread = ticked_to(10_000);
+fn a_suspension_matters_while_requests_may_wait_behind_others() {
+    let mut unread = ticking_until(10_000);
     unread.tick(at(90_000));
     unread.tick(at(90_500));
     assert_eq!(unread.longest(at(90_700)), Duration::from_secs(80));
@@ -36,9 +40,10 @@
     assert_eq!(unread.longest(at(151_000)), Duration::ZERO);
 }
 
+/// Guards against dropping a recent suspension together with the longer one before it.
 #[test]
-fn a_short_pause_after_a_long_one_is_not_forgotten_with_it() {
-    let mut unread = ticked_to(10_000);
+fn a_short_suspension_outlasts_an_earlier_longer_one() {
+    let mut unread = ticking_until(10_000);
     unread.tick(at(90_000));
     unread.tick(at(130_000));
     unread.tick(at(155_000));
