--- a/crates/sycamore-call/src/quarantine/mod.rs
+++ b/crates/sycamore-call/src/quarantine/mod.rs
@@ -1,9 +1,9 @@
-//! Requests that crash upstreams: recognised by fingerprint after the second crash anywhere, refused
-//! everywhere, released after a stated time.
+//! Quarantine of requests that crash upstreams: a fingerprint that two crashes anywhere are held
+//! against is refused everywhere until the quarantine expires.
 //!
-//! A crash has witnesses who did nothing: every request that was in flight on the instance. So a
-//! request that completed here lately is not named; one that was named once is run only alone among
-//! the named ones, so that a second crash tells which of them it was.
+//! A crash involves every request in flight on the instance, most of them harmless. So a request
+//! that completed here recently is not suspected, and a suspect never runs beside another suspect,
+//! so that a second crash identifies the culprit.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,12 +12,12 @@
 /// Settings of a [`CrashLog`].
 #[derive(Debug, Clone)]
 pub struct CrashLogConfig {
-    /// Time for which a crash is remembered against the requests that it took along, and so for
-    /// which a quarantined request is refused after its last crash.
+    /// Time for which a crash counts against the requests in flight, and so the time for which a
+    /// quarantined request is refused after its last crash.
     pub quarantine: Duration,
-    /// Crashes after which a request is quarantined.
+    /// Number of crashes after which a request is quarantined.
     pub crashes: usize,
-    /// Fingerprints remembered at most, of each kind.
+    /// Maximum number of fingerprints in each table: suspected, quarantined and completed requests.
     pub entries: usize,
 }
 
@@ -27,22 +27,22 @@
     }
 }
 
-/// What is known of a request.
+/// Standing of a request with regard to crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing against it.
+    /// No crash counts against the request.
     Clear,
-    /// It was in flight at a crash: it may run, but no other suspect beside it.
+    /// The request was in flight at a crash; it may run, but not beside another suspect.
     Suspect,
-    /// It crashes upstreams: refused until then.
+    /// The request crashes upstreams and is refused until this time.
     Quarantined(WallTime),
 }
 
-/// Crashes, suspects and quarantined requests, as known here.
+/// Crashes, suspected requests and quarantined requests that this node knows of.
 #[derive(Debug, Clone)]
 pub struct CrashLog {
     config: CrashLogConfig,
-    seen: BTreeMap<Fingerprint, BTreeMap<u64, WallTime>>,
+    crashes_by_request: BTreeMap<Fingerprint, BTreeMap<u64, WallTime>>,
     quarantined: BTreeMap<Fingerprint, WallTime>,
     /// Requests that completed here, oldest first.
     completed: VecDeque<Fingerprint>,
@@ -50,89 +50,90 @@
 }
 
 impl CrashLog {
-    /// A log that knows nothing.
+    /// Creates an empty log.
     pub fn new(config: CrashLogConfig) -> Self {
         Self {
             config,
-            seen: BTreeMap::new(),
+            crashes_by_request: BTreeMap::new(),
             quarantined: BTreeMap::new(),
             completed: VecDeque::new(),
             completed_count: BTreeMap::new(),
         }
     }
 
-    /// What is known of `request`.
+    /// Returns the verdict on `request` at `now`.
     pub fn verdict(&self, now: WallTime, request: Fingerprint) -> Verdict {
         if let Some(until) = self.quarantined.get(&request).filter(|until| now < **until) {
             return Verdict::Quarantined(*until);
         }
-        let named = self
-            .seen
+        let is_implicated = self
+            .crashes_by_request
             .get(&request)
             .is_some_and(|crashes| crashes.values().any(|until| now < *until));
-        if named && !self.completed_count.contains_key(&request) {
+        if is_implicated && !self.completed_count.contains_key(&request) {
             return Verdict::Suspect;
         }
         Verdict::Clear
     }
 
-    /// Records that `request` was answered by an upstream that still stands.
+    /// Records that `request` was answered by an upstream that did not crash.
     pub fn completed(&mut self, request: Fingerprint) {
         self.completed.push_back(request);
         *self.completed_count.entry(request).or_default() += 1;
         if self.completed.len() > self.config.entries {
-            self.forget_completed();
+            self.remove_oldest_completed();
         }
     }
 
     /// Records that the upstream beside this node crashed while `in_flight` ran there; `crash`
-    /// tells crashes apart. Returns the facts to spread.
+    /// identifies the crash. Returns the facts to spread.
     pub fn crashed(&mut self, now: WallTime, crash: u64, in_flight: &[Fingerprint]) -> Vec<Fact> {
         let until = now + self.config.quarantine;
         let facts: Vec<Fact> = self
-            .named_by_crash(now, in_flight)
+            .implicated_by_crash(now, in_flight)
             .into_iter()
             .map(|fingerprint| Fact::CrashSeen { fingerprint, crash, until })
             .collect();
-        let condemned: Vec<Fact> = facts.iter().filter_map(|fact| self.learn(now, fact)).collect();
-        facts.into_iter().chain(condemned).collect()
+        let quarantined: Vec<Fact> =
+            facts.iter().filter_map(|fact| self.learn(now, fact)).collect();
+        facts.into_iter().chain(quarantined).collect()
     }
 
-    /// Whom a crash is held against: a request that was named before and ran here alone among
-    /// suspects, otherwise all that never completed here.
-    fn named_by_crash(&self, now: WallTime, in_flight: &[Fingerprint]) -> Vec<Fingerprint> {
-        let with = |keep: &dyn Fn(&Fingerprint) -> bool| -> Vec<Fingerprint> {
+    /// Returns the requests that a crash counts against: the only suspect in flight, or else all
+    /// requests that have not completed here, or else all.
+    fn implicated_by_crash(&self, now: WallTime, in_flight: &[Fingerprint]) -> Vec<Fingerprint> {
+        let select = |keep: &dyn Fn(&Fingerprint) -> bool| -> Vec<Fingerprint> {
             in_flight.iter().copied().filter(|request| keep(request)).collect()
         };
-        let suspects = with(&|request| self.verdict(now, *request) == Verdict::Suspect);
+        let suspects = select(&|request| self.verdict(now, *request) == Verdict::Suspect);
         if suspects.len() == 1 {
             return suspects;
         }
-        let unproven = with(&|request| !self.completed_count.contains_key(request));
-        if unproven.is_empty() {
+        let never_completed = select(&|request| !self.completed_count.contains_key(request));
+        if never_completed.is_empty() {
             in_flight.to_vec()
         } else {
-            unproven
+            never_completed
         }
     }
 
-    /// Takes a fact learnt from another node or raised here; returns the fact to spread where it
-    /// condemns a request.
+    /// Applies a fact from another node or of this one; returns a fact to spread if it quarantines
+    /// a request.
     pub fn learn(&mut self, now: WallTime, fact: &Fact) -> Option<Fact> {
-        self.forget(now);
+        self.remove_expired(now);
         match fact {
             Fact::Quarantined { fingerprint, until } => {
                 self.quarantine(*fingerprint, *until);
                 None
             }
             Fact::CrashSeen { fingerprint, crash, until } => {
-                self.crash_seen(now, *fingerprint, *crash, *until)
+                self.record_crash(now, *fingerprint, *crash, *until)
             }
             _ => None,
         }
     }
 
-    fn crash_seen(
+    fn record_crash(
         &mut self,
         now: WallTime,
         fingerprint: Fingerprint,
@@ -142,21 +143,22 @@
         if until <= now || self.is_full(&fingerprint) {
             return None;
         }
-        let crashes = self.seen.entry(fingerprint).or_default();
+        let crashes = self.crashes_by_request.entry(fingerprint).or_default();
         if crashes.len() < self.config.crashes {
             crashes.insert(crash, until);
         }
         if crashes.len() < self.config.crashes || self.quarantined.contains_key(&fingerprint) {
             return None;
         }
-        // Every node that knows these crashes arrives at the same end.
+        // Taking the latest expiry, every node that knows these crashes computes the same end.
         let until = crashes.values().copied().max().unwrap_or(until);
         self.quarantine(fingerprint, until);
         Some(Fact::Quarantined { fingerprint, until })
     }
 
     fn is_full(&self, fingerprint: &Fingerprint) -> bool {
-        self.seen.len() >= self.config.entries && !self.seen.contains_key(fingerprint)
+        self.crashes_by_request.len() >= self.config.entries
+            && !self.crashes_by_request.contains_key(fingerprint)
     }
 
     fn quarantine(&mut self, fingerprint: Fingerprint, until: WallTime) {
@@ -166,23 +168,23 @@
         }
     }
 
-    /// Forgets what has expired; a released request starts with a clean record.
-    fn forget(&mut self, now: WallTime) {
-        let seen = &mut self.seen;
+    /// Drops expired entries; a request whose quarantine ended starts with a clean record.
+    fn remove_expired(&mut self, now: WallTime) {
+        let crashes_by_request = &mut self.crashes_by_request;
         self.quarantined.retain(|fingerprint, until| {
             let kept = now < *until;
             if !kept {
-                seen.remove(fingerprint);
+                crashes_by_request.remove(fingerprint);
             }
             kept
         });
-        seen.retain(|_, crashes| {
+        crashes_by_request.retain(|_, crashes| {
             crashes.retain(|_, until| now < *until);
             !crashes.is_empty()
         });
     }
 
-    fn forget_completed(&mut self) {
+    fn remove_oldest_completed(&mut self) {
         let Some(oldest) = self.completed.pop_front() else { return };
         if let Some(count) = self.completed_count.get_mut(&oldest) {
             *count -= 1;
--- a/crates/sycamore-call/tests/decisions/false_rate.rs
+++ b/crates/sycamore-call/tests/decisions/false_rate.rs
@@ -1,4 +1,5 @@
-//! How often a request that did nothing is quarantined, because it was in flight at two crashes.
+//! Simulation of the rate at which harmless requests are quarantined because they were in flight at
+//! two crashes.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -10,28 +11,28 @@
 const NODES: usize = 5;
 const SLOTS: usize = 12;
 const STEPS: u64 = 12_000;
-/// Steps from one request that crashes upstreams to the next.
-const POISON_EVERY: u64 = 100;
-/// Times that its caller sends it.
+/// Number of steps between two requests that crash upstreams.
+const STEPS_PER_POISON: u64 = 100;
+/// Number of times that a crashing request is sent by its caller.
 const POISON_REPEATS: usize = 6;
-/// Requests that many callers send alike.
-const POPULAR: u64 = 40;
+/// Number of distinct requests that many callers send alike.
+const POPULAR_REQUESTS: u64 = 40;
 const POISON_BASE: u64 = 1 << 40;
 
 #[derive(Default)]
 struct Count {
     crashes: usize,
     poisons: usize,
-    poisons_caught: usize,
+    poisons_quarantined: usize,
     crashes_of: BTreeMap<Fingerprint, usize>,
     in_flight_at_crash: usize,
-    innocents_condemned: usize,
+    harmless_quarantined: usize,
 }
 
 struct Fleet {
     logs: Vec<CrashLog>,
     running: Vec<Vec<Fingerprint>>,
-    /// Requests that wait to be sent, repeats included.
+    /// Requests that wait to be sent, including repeats.
     waiting: Vec<Fingerprint>,
     rng: SmallRng,
     next: u64,
@@ -49,14 +50,14 @@
             running: vec![Vec::new(); NODES],
             waiting: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
-            next: POPULAR,
+            next: POPULAR_REQUESTS,
             count: Count::default(),
         }
     }
 
-    fn innocent(&mut self) -> Fingerprint {
+    fn harmless_request(&mut self) -> Fingerprint {
         if self.rng.random_bool(0.3) {
-            return Fingerprint(self.rng.random_range(0..POPULAR));
+            return Fingerprint(self.rng.random_range(0..POPULAR_REQUESTS));
         }
         self.next += 1;
         Fingerprint(self.next)
@@ -64,7 +65,7 @@
 
     fn step(&mut self, step: u64) {
         let now = WallTime(step * 10);
-        if step.is_multiple_of(POISON_EVERY) {
+        if step.is_multiple_of(STEPS_PER_POISON) {
             self.count.poisons += 1;
             let poison = Fingerprint(POISON_BASE + step);
             self.waiting.extend([poison; POISON_REPEATS]);
@@ -78,7 +79,7 @@
                 let at = self.waiting.iter().position(|r| self.may_run(node, *r, now));
                 let request = match at {
                     Some(at) => self.waiting.swap_remove(at),
-                    None => self.innocent(),
+                    None => self.harmless_request(),
                 };
                 if !self.may_run(node, request, now) {
                     break;
@@ -105,7 +106,7 @@
         });
     }
 
-    /// The daemon's rule: no quarantined request, and one suspect at a time.
+    /// Applies the node's rule: no quarantined request, and one suspect at a time.
     fn may_run(&self, node: usize, request: Fingerprint, now: WallTime) -> bool {
         let log = &self.logs[node];
         match log.verdict(now, request) {
@@ -128,37 +129,39 @@
         for fact in &facts {
             if let Fact::Quarantined { fingerprint, .. } = fact {
                 match is_poison(*fingerprint) {
-                    true => self.count.poisons_caught += 1,
-                    false => self.count.innocents_condemned += 1,
+                    true => self.count.poisons_quarantined += 1,
+                    false => self.count.harmless_quarantined += 1,
                 }
             }
             (0..NODES).filter(|other| *other != node).for_each(|other| {
                 self.logs[other].learn(now, fact);
             });
         }
-        // Every caller whose call broke sends it again, all at once.
+        // Every caller whose call broke repeats it, all at once.
         self.waiting.extend(in_flight.into_iter().filter(|request| *request != poison));
     }
 }
 
+/// Guards against quarantining more than 1% of the harmless requests in flight at crashes, and
+/// against a request that crashes upstreams again after its second crash.
 #[test]
-fn innocents_are_rarely_condemned_and_each_poison_crashes_two_upstreams() {
+fn harmless_requests_are_rarely_quarantined() {
     let mut fleet = Fleet::new(11);
     (0..STEPS).for_each(|step| fleet.step(step));
     let count = &fleet.count;
-    let rate = count.innocents_condemned as f64 / count.in_flight_at_crash as f64;
+    let rate = count.harmless_quarantined as f64 / count.in_flight_at_crash as f64;
     println!(
-        "{} poisons, {} crashes, {} caught; {} innocents in flight at crashes, {} condemned: {rate:.5}",
+        "{} poisons, {} crashes, {} quarantined; {} harmless requests in flight at crashes, {} quarantined: {rate:.5}",
         count.poisons,
         count.crashes,
-        count.poisons_caught,
+        count.poisons_quarantined,
         count.in_flight_at_crash,
-        count.innocents_condemned,
+        count.harmless_quarantined,
     );
     let twice = count.crashes_of.values().filter(|crashes| **crashes >= 2).count();
     let most = count.crashes_of.values().max();
     println!("{twice} poisons crashed a second upstream, {most:?} at most");
     assert!(count.poisons >= 100);
-    assert_eq!(count.poisons_caught, twice, "each is caught by its second crash");
+    assert_eq!(count.poisons_quarantined, twice, "every second crash quarantines its request");
     assert!(rate <= 0.01, "{rate}");
 }
--- a/crates/sycamore-call/tests/decisions/quarantine.rs
+++ b/crates/sycamore-call/tests/decisions/quarantine.rs
@@ -1,52 +1,57 @@
-//! Requests that crash upstreams.
+//! Tests of the quarantine of requests that crash upstreams.
 
 use sycamore_call::quarantine::Verdict;
 use sycamore_call::{CrashLog, CrashLogConfig};
 use sycamore_types::prelude::*;
 
 const POISON: Fingerprint = Fingerprint(1);
-const INNOCENT: Fingerprint = Fingerprint(2);
+const HARMLESS: Fingerprint = Fingerprint(2);
 
 fn log() -> CrashLog {
     CrashLog::new(CrashLogConfig::default())
 }
 
-fn condemned(facts: &[Fact]) -> Vec<Fingerprint> {
-    let condemned = facts.iter().filter_map(|fact| match fact {
+fn quarantined(facts: &[Fact]) -> Vec<Fingerprint> {
+    let quarantined = facts.iter().filter_map(|fact| match fact {
         Fact::Quarantined { fingerprint, .. } => Some(*fingerprint),
         _ => None,
     });
-    condemned.collect()
+    quarantined.collect()
 }
 
+/// Guards against counting crashes per node, so that a request could crash one upstream after
+/// another.
 #[test]
-fn the_second_crash_condemns_wherever_it_happens() {
+fn a_second_crash_at_another_node_quarantines_the_request() {
     let (mut here, mut there) = (log(), log());
-    let first = here.crashed(WallTime(0), 100, &[POISON, INNOCENT]);
-    assert_eq!(condemned(&first), []);
+    let first = here.crashed(WallTime(0), 100, &[POISON, HARMLESS]);
+    assert_eq!(quarantined(&first), []);
     first.iter().for_each(|fact| drop(there.learn(WallTime(1), fact)));
     assert_eq!(there.verdict(WallTime(1), POISON), Verdict::Suspect);
     let second = there.crashed(WallTime(2), 200, &[POISON]);
-    assert_eq!(condemned(&second), [POISON]);
+    assert_eq!(quarantined(&second), [POISON]);
     let until = WallTime(2 + 600_000);
     assert_eq!(there.verdict(WallTime(3), POISON), Verdict::Quarantined(until));
     second.iter().for_each(|fact| drop(here.learn(WallTime(4), fact)));
     assert_eq!(here.verdict(WallTime(5), POISON), Verdict::Quarantined(until));
-    assert_eq!(here.verdict(WallTime(5), INNOCENT), Verdict::Suspect);
+    assert_eq!(here.verdict(WallTime(5), HARMLESS), Verdict::Suspect);
 }
 
+/// Guards against depending on the nodes with the crashes to raise the quarantine, and against
+/// counting a repeated report twice.
 #[test]
-fn crashes_seen_at_two_nodes_condemn_at_a_third() {
+fn a_third_node_quarantines_after_two_reported_crashes() {
     let mut third = log();
     let seen = |crash| Fact::CrashSeen { fingerprint: POISON, crash, until: WallTime(1_000) };
     assert_eq!(third.learn(WallTime(0), &seen(1)), None);
     assert_eq!(third.learn(WallTime(0), &seen(1)), None, "the same crash twice is one");
     assert!(third.learn(WallTime(0), &seen(2)).is_some());
-    assert_eq!(third.learn(WallTime(0), &seen(3)), None, "it is condemned once");
+    assert_eq!(third.learn(WallTime(0), &seen(3)), None, "the quarantine is raised once");
 }
 
+/// Guards against a new quarantine after a single further crash, and against one that doesn't end.
 #[test]
-fn the_quarantine_ends_with_a_clean_record() {
+fn a_request_has_a_clean_record_after_its_quarantine() {
     let mut log = log();
     log.crashed(WallTime(0), 1, &[POISON]);
     log.crashed(WallTime(1), 2, &[POISON]);
@@ -54,37 +59,41 @@
     assert_eq!(log.verdict(WallTime(600_000), POISON), Verdict::Quarantined(end));
     assert_eq!(log.verdict(end, POISON), Verdict::Clear);
     let facts = log.crashed(end, 3, &[POISON]);
-    assert_eq!(condemned(&facts), [], "it takes two crashes again");
+    assert_eq!(quarantined(&facts), [], "it takes two crashes again");
 }
 
+/// Guards against suspecting a harmless request because it was in flight at a crash.
 #[test]
-fn a_request_that_completed_is_not_named() {
+fn a_request_that_completed_before_is_not_suspected() {
     let mut log = log();
-    log.completed(INNOCENT);
-    log.crashed(WallTime(0), 1, &[POISON, INNOCENT]);
-    assert_eq!(log.verdict(WallTime(1), INNOCENT), Verdict::Clear);
+    log.completed(HARMLESS);
+    log.crashed(WallTime(0), 1, &[POISON, HARMLESS]);
+    assert_eq!(log.verdict(WallTime(1), HARMLESS), Verdict::Clear);
     assert_eq!(log.verdict(WallTime(1), POISON), Verdict::Suspect);
 }
 
+/// Guards against keeping a request under suspicion after it ran without a crash.
 #[test]
 fn a_suspect_that_completes_is_cleared() {
     let mut log = log();
-    log.crashed(WallTime(0), 1, &[POISON, INNOCENT]);
-    log.completed(INNOCENT);
-    assert_eq!(log.verdict(WallTime(1), INNOCENT), Verdict::Clear);
+    log.crashed(WallTime(0), 1, &[POISON, HARMLESS]);
+    log.completed(HARMLESS);
+    assert_eq!(log.verdict(WallTime(1), HARMLESS), Verdict::Clear);
 }
 
+/// Guards against suspecting the other requests in flight when a known suspect explains the crash.
 #[test]
-fn the_only_suspect_in_flight_is_the_one_named() {
+fn a_crash_counts_against_the_only_suspect_in_flight() {
     let mut log = log();
     log.crashed(WallTime(0), 1, &[POISON]);
-    let facts = log.crashed(WallTime(1), 2, &[POISON, INNOCENT]);
-    assert_eq!(condemned(&facts), [POISON]);
-    assert_eq!(log.verdict(WallTime(2), INNOCENT), Verdict::Clear);
+    let facts = log.crashed(WallTime(1), 2, &[POISON, HARMLESS]);
+    assert_eq!(quarantined(&facts), [POISON]);
+    assert_eq!(log.verdict(WallTime(2), HARMLESS), Verdict::Clear);
 }
 
+/// Guards against unbounded memory when many different requests are in flight at crashes.
 #[test]
-fn tables_are_bounded() {
+fn the_number_of_suspects_is_bounded() {
     let config = CrashLogConfig { entries: 10, ..CrashLogConfig::default() };
     let mut log = CrashLog::new(config);
     for i in 0..1_000 {
