--- a/crates/sycamore-call/src/announce/mod.rs
+++ b/crates/sycamore-call/src/announce/mod.rs
@@ -1,50 +1,50 @@
-//! Which announcements of an upstream count: messages arrive late, twice and out of order, and an
-//! earlier start of the upstream may still be heard after a later one.
+//! Ordering of an upstream's announcements: messages arrive late, twice and out of order, and those
+//! of an earlier process may arrive after those of a later one.
 
 use sycamore_types::prelude::*;
 
-/// One start of an upstream, as its messages name it.
+/// Identity of an upstream process, as its messages state it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProcessRef<'a> {
-    /// Its own name; a later start may take it again.
+    /// Name that the process gave itself; a later process may reuse it. `None` where it gave none.
     pub name: Option<&'a str>,
-    /// When it started.
+    /// Start time of the process; `None` where it gave none.
     pub started: Option<WallTime>,
 }
 
-/// What a message is worth.
+/// Position of a message in the order of an upstream's messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Heard {
-    /// It is the newest of the current start, or of a later one.
+    /// The message is the newest of the current process, or the first of a later one.
     Current,
-    /// It is of the current start and says nothing that still counts.
+    /// The message is of the current process but repeats or predates one already applied.
     Repeated,
-    /// It is of an earlier start.
+    /// The message is of an earlier process.
     Earlier,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Current {
+struct CurrentProcess {
     name: Option<String>,
     started: Option<WallTime>,
     sequence: Option<u64>,
     left: bool,
 }
 
-/// Orders the messages of the starts of one upstream.
+/// Orders the messages of the successive processes of one upstream.
 #[derive(Debug, Clone, Default)]
 pub struct AnnouncementLog {
-    current: Option<Current>,
+    current: Option<CurrentProcess>,
 }
 
 impl AnnouncementLog {
-    /// Takes an announcement; `sequence` counts those of one start.
+    /// Records an announcement; `sequence` numbers the announcements of one process.
     pub fn announced(&mut self, process: ProcessRef<'_>, sequence: Option<u64>) -> Heard {
-        match (self.order(process), &mut self.current) {
-            (Order::Earlier, _) => Heard::Earlier,
-            (Order::Same, Some(current)) => {
-                let is_old = sequence.is_some() && sequence <= current.sequence;
-                if is_old || (current.left && current.name.is_some()) {
+        match (self.order_of(process), &mut self.current) {
+            (ProcessOrder::Earlier, _) => Heard::Earlier,
+            (ProcessOrder::Same, Some(current)) => {
+                let is_repeated = sequence.is_some() && sequence <= current.sequence;
+                if is_repeated || (current.left && current.name.is_some()) {
                     return Heard::Repeated;
                 }
                 current.sequence = sequence;
@@ -52,46 +52,46 @@
                 Heard::Current
             }
             _ => {
-                self.begin(process, sequence, false);
+                self.start_process(process, sequence, false);
                 Heard::Current
             }
         }
     }
 
-    /// Takes the message that an upstream leaves.
+    /// Records the message by which an upstream process leaves.
     pub fn left(&mut self, process: ProcessRef<'_>) -> Heard {
-        match (self.order(process), &mut self.current) {
-            (Order::Earlier, _) => Heard::Earlier,
-            (Order::Same, Some(current)) => {
+        match (self.order_of(process), &mut self.current) {
+            (ProcessOrder::Earlier, _) => Heard::Earlier,
+            (ProcessOrder::Same, Some(current)) => {
                 current.left = true;
                 Heard::Current
             }
-            // Without a time it can't be told whether another process is a later one.
+            // Without a start time, a process of another name can't be recognised as a later one.
             (_, Some(_)) if process.started.is_none() => Heard::Earlier,
             _ => {
-                self.begin(process, None, true);
+                self.start_process(process, None, true);
                 Heard::Current
             }
         }
     }
 
-    fn begin(&mut self, process: ProcessRef<'_>, sequence: Option<u64>, left: bool) {
+    fn start_process(&mut self, process: ProcessRef<'_>, sequence: Option<u64>, left: bool) {
         let name = process.name.map(str::to_owned);
-        self.current = Some(Current { name, started: process.started, sequence, left });
+        self.current = Some(CurrentProcess { name, started: process.started, sequence, left });
     }
 
-    fn order(&self, process: ProcessRef<'_>) -> Order {
-        let Some(current) = &self.current else { return Order::Later };
+    fn order_of(&self, process: ProcessRef<'_>) -> ProcessOrder {
+        let Some(current) = &self.current else { return ProcessOrder::Later };
         match (process.started, current.started) {
-            (Some(new), Some(old)) if new < old => Order::Earlier,
-            (Some(new), Some(old)) if new > old => Order::Later,
-            _ if process.name == current.name.as_deref() => Order::Same,
-            _ => Order::Later,
+            (Some(new), Some(old)) if new < old => ProcessOrder::Earlier,
+            (Some(new), Some(old)) if new > old => ProcessOrder::Later,
+            _ if process.name == current.name.as_deref() => ProcessOrder::Same,
+            _ => ProcessOrder::Later,
         }
     }
 }
 
-enum Order {
+enum ProcessOrder {
     Earlier,
     Same,
     Later,
--- a/crates/sycamore-call/tests/decisions/announce.rs
+++ b/crates/sycamore-call/tests/decisions/announce.rs
@@ -1,4 +1,5 @@
-//! Announcements that are late, reordered, of an earlier start or under a name that is used again.
+//! Tests of the ordering of announcements that are late, repeated, of an earlier process or under a
+//! reused name.
 
 use sycamore_call::announce::{AnnouncementLog, Heard, ProcessRef};
 use sycamore_types::prelude::*;
@@ -7,8 +8,9 @@
     ProcessRef { name: Some(name), started: Some(WallTime(started)) }
 }
 
+/// Guards against applying an announcement that a newer one of the same process has replaced.
 #[test]
-fn late_and_repeated_announcements_change_nothing() {
+fn late_and_repeated_announcements_are_ignored() {
     let mut log = AnnouncementLog::default();
     assert_eq!(log.announced(process("i-1", 100), Some(4)), Heard::Current);
     assert_eq!(log.announced(process("i-1", 100), Some(3)), Heard::Repeated);
@@ -16,8 +18,10 @@
     assert_eq!(log.announced(process("i-1", 100), Some(5)), Heard::Current);
 }
 
+/// Guards against a delayed message of the previous process that replaces or drains the current
+/// one.
 #[test]
-fn an_earlier_start_says_nothing_after_a_later_one() {
+fn messages_of_an_earlier_process_are_ignored() {
     let mut log = AnnouncementLog::default();
     log.announced(process("i-2", 200), Some(1));
     assert_eq!(log.announced(process("i-1", 100), Some(90)), Heard::Earlier);
@@ -25,8 +29,10 @@
     assert_eq!(log.announced(process("i-2", 200), Some(2)), Heard::Current);
 }
 
+/// Guards against comparing the sequence numbers of two processes because the later one reuses the
+/// name.
 #[test]
-fn a_name_that_is_used_again_counts_anew() {
+fn a_reused_name_starts_a_new_process() {
     let mut log = AnnouncementLog::default();
     log.announced(process("i-1", 100), Some(90));
     log.left(process("i-1", 100));
@@ -34,16 +40,18 @@
     assert_eq!(log.announced(process("i-1", 100), Some(91)), Heard::Earlier);
 }
 
+/// Guards against a late announcement that revives an upstream after its leave message.
 #[test]
-fn a_leave_binds_against_later_announcements_of_the_same_start() {
+fn a_process_that_left_cannot_announce_itself_again() {
     let mut log = AnnouncementLog::default();
     log.announced(process("i-1", 100), Some(1));
     assert_eq!(log.left(process("i-1", 100)), Heard::Current);
     assert_eq!(log.announced(process("i-1", 100), Some(2)), Heard::Repeated);
 }
 
+/// Guards against draining the current upstream for the leave message of another process.
 #[test]
-fn a_leave_without_a_time_binds_the_process_that_it_names_only() {
+fn a_leave_without_a_start_time_applies_only_to_the_named_process() {
     let mut log = AnnouncementLog::default();
     log.announced(process("i-2", 200), Some(1));
     let unknown = ProcessRef { name: Some("i-1"), started: None };
