--- a/crates/sycamore-call/src/lib.rs
+++ b/crates/sycamore-call/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions on calls: routing, admission, retries, idempotency and quarantine.
+//! Decision logic for calls: routing, admission, retries, idempotency and quarantine.
 //!
-//! Everything here is pure: the time and the seed come in, decisions go out, and nothing opens a
-//! socket or reads a clock. The node beside an upstream runs [`Gate`], [`Admission`], [`KeyTable`]
-//! and [`CrashLog`]; the node that a caller reaches runs [`Router`] and [`RetryBudget`].
+//! All code in this crate is pure: time and random seeds are inputs, decisions are outputs, and
+//! nothing opens a socket or reads a clock. The node beside an upstream uses [`Gate`],
+//! [`Admission`], [`KeyTable`] and [`CrashLog`]; the node that a caller connects to uses [`Router`]
+//! and [`RetryBudget`].
 
 pub mod admit;
 pub mod announce;
--- a/crates/sycamore-call/src/load.rs
+++ b/crates/sycamore-call/src/load.rs
@@ -1,21 +1,21 @@
-//! Load of an upstream, as its node reports it on every answer.
+//! Load of an upstream, which its node reports on every answer.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// Load of an upstream.
+/// Load of an upstream, in calls; its text form is `running/limit/queued`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Load {
-    /// Calls that run.
+    /// Number of running calls.
     pub running: u16,
-    /// Calls that may run at a time.
+    /// Maximum number of concurrent calls.
     pub limit: u16,
-    /// Calls that wait.
+    /// Number of calls that wait for a slot.
     pub queued: u16,
 }
 
 impl Load {
-    /// Calls admitted or waiting, per call that may run; 1.0 is full.
+    /// Returns running and queued calls as a fraction of the limit; 1.0 is full.
     pub fn utilisation(self) -> f64 {
         f64::from(self.running + self.queued) / f64::from(self.limit.max(1))
     }
@@ -27,13 +27,13 @@
     }
 }
 
-/// The text is no load.
+/// Error of a text that is not of the form `running/limit/queued`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParseLoadError;
 
 impl fmt::Display for ParseLoadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("load is not of the form running/limit/queued")
+        f.write_str("invalid load: expected running/limit/queued, three numbers of 0 to 65535")
     }
 }
 
--- a/crates/sycamore-call/tests/decisions/common.rs
+++ b/crates/sycamore-call/tests/decisions/common.rs
@@ -1,4 +1,4 @@
-//! Short names for test values.
+//! Constructors of test values.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use sycamore_types::prelude::*;
@@ -31,7 +31,7 @@
     Time::from_millis(millis)
 }
 
-/// A serving member of `counter`.
+/// Creates a serving member of the service `counter` with 10 slots.
 pub fn member(name: &str, of_version: &str, in_centre: &str) -> Member {
     let addr = SocketAddr::from((Ipv4Addr::LOCALHOST, 7000));
     Member {
@@ -52,7 +52,8 @@
     MemberView { members: members.collect() }
 }
 
-/// Shares of the settled version `1` and the unproven version `2`.
+/// Creates a share table with the stable version `1` and the unproven version `2`; shares are in
+/// basis points.
 pub fn shares(old: u16, new: u16) -> ShareTable {
     let mut table = ShareTable::default();
     let entry = |text: &str, points, by| VersionShare {
--- a/crates/sycamore-call/tests/decisions/main.rs
+++ b/crates/sycamore-call/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions on calls.
+//! Tests of the decision logic for calls.
 #![allow(clippy::unwrap_used)]
 
 mod admit;
