--- a/crates/sycamore-call/src/key/mod.rs
+++ b/crates/sycamore-call/src/key/mod.rs
@@ -8,7 +8,7 @@
 mod table;
 mod unread;
 
-pub use owner::{owner_of, Members, Ownership, OwnershipConfig, Standing};
+pub use owner::{owner_of, Members, Ownership, OwnershipConfig, OwnershipStatus};
 pub use table::{KeyDecision, KeyEnd, KeyTable, KeyTableConfig, Released};
 pub use unread::Unread;
 
--- a/crates/sycamore-call/src/key/owner.rs
+++ b/crates/sycamore-call/src/key/owner.rs
@@ -56,7 +56,7 @@
 
 /// Status of this node as the owner of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum OwnershipStatus {
     /// This node owns the key and would know of an earlier run.
     Owner,
     /// This node owns the key once all of these members, which may have run it, have released it.
@@ -166,11 +166,11 @@
     }
 
     /// Returns the status of this node as the owner of `key`.
-    pub fn standing(&self, now: Time, key: KeyHash) -> Standing {
+    pub fn status(&self, now: Time, key: KeyHash) -> OwnershipStatus {
         match self.views.back().and_then(|(_, members)| owner_of(members, key)) {
-            None => Standing::Nobody,
-            Some(owner) if *owner != self.own_id => Standing::Other(owner.clone()),
-            Some(_) if !self.is_certain(now) => Standing::InDoubt,
+            None => OwnershipStatus::Nobody,
+            Some(owner) if *owner != self.own_id => OwnershipStatus::Other(owner.clone()),
+            Some(_) if !self.is_certain(now) => OwnershipStatus::InDoubt,
             Some(_) => self.status_after_earlier_owners(now, key),
         }
     }
@@ -199,7 +199,7 @@
         seen * 2 > seen + self.lost.len()
     }
 
-    fn status_after_earlier_owners(&self, now: Time, key: KeyHash) -> Standing {
+    fn status_after_earlier_owners(&self, now: Time, key: KeyHash) -> OwnershipStatus {
         let mut earlier = Members::new();
         for members in self.recent_views(now) {
             earlier.extend(owner_with_incarnation(members, key));
@@ -210,17 +210,17 @@
             others.remove(&self.own_id);
             match owner_with_incarnation(&others, key) {
                 Some((owner, incarnation)) => earlier.insert(owner, incarnation),
-                None => return Standing::InDoubt,
+                None => return OwnershipStatus::InDoubt,
             };
         }
         earlier.remove(&self.own_id);
         if earlier.is_empty() {
-            return Standing::Owner;
+            return OwnershipStatus::Owner;
         }
         if earlier.iter().all(|(owner, incarnation)| self.is_present(owner, *incarnation)) {
-            return Standing::OwnerAfter(earlier.into_keys().collect());
+            return OwnershipStatus::OwnerAfter(earlier.into_keys().collect());
         }
-        Standing::InDoubt
+        OwnershipStatus::InDoubt
     }
 
     /// Returns whether the given incarnation of `member` is still present.
--- a/crates/sycamore-call/src/lib.rs
+++ b/crates/sycamore-call/src/lib.rs
@@ -16,7 +16,7 @@
 
 pub use admit::{Admission, AdmissionConfig, Arrival, Criticality, Decision, LimitPolicy};
 pub use gate::Gate;
-pub use key::{KeyDecision, KeyHash, KeyTable, KeyTableConfig, Ownership, Standing};
+pub use key::{KeyDecision, KeyHash, KeyTable, KeyTableConfig, Ownership, OwnershipStatus};
 pub use load::Load;
 pub use quarantine::{CrashLog, CrashLogConfig};
 pub use retry::{AttemptFailure, RetryBudget, RetryConfig, RetryDecision};
--- a/crates/sycamore-call/tests/decisions/key.rs
+++ b/crates/sycamore-call/tests/decisions/key.rs
@@ -3,7 +3,7 @@
 
 use super::common::{at, instance, ms};
 use sycamore_call::key::{owner_of, KeyEnd, Members, OwnershipConfig, Released};
-use sycamore_call::{KeyDecision, KeyHash, KeyTable, KeyTableConfig, Ownership, Standing};
+use sycamore_call::{KeyDecision, KeyHash, KeyTable, KeyTableConfig, Ownership, OwnershipStatus};
 use sycamore_types::prelude::*;
 
 const KEY: KeyHash = KeyHash(7);
@@ -136,12 +136,12 @@
     let key = key_of("x", &["x", "y"]);
     let mut x = ownership("x", at(0));
     x.update(at(0), members(&["x", "y"]), Members::new());
-    assert_eq!(x.standing(at(10), key), Standing::OwnerAfter(vec![instance("y")]));
+    assert_eq!(x.status(at(10), key), OwnershipStatus::OwnerAfter(vec![instance("y")]));
     x.tick(at(1_000));
-    assert_eq!(x.standing(at(1_000), key), Standing::Owner);
-    assert_eq!(x.standing(at(3_001), key), Standing::InDoubt, "the node was suspended");
+    assert_eq!(x.status(at(1_000), key), OwnershipStatus::Owner);
+    assert_eq!(x.status(at(3_001), key), OwnershipStatus::InDoubt, "the node was suspended");
     x.tick(at(3_001));
-    assert_eq!(x.standing(at(3_001), key), Standing::OwnerAfter(vec![instance("y")]));
+    assert_eq!(x.status(at(3_001), key), OwnershipStatus::OwnerAfter(vec![instance("y")]));
 }
 
 /// Guards against a run by an owner while another member doesn't have it in view and may consider
@@ -153,7 +153,7 @@
     x.update(at(0), members(&["x", "y", "z"]), Members::new());
     x.set_unsure(members(&["w", "z"]));
     x.tick(at(1_500));
-    assert_eq!(x.standing(at(1_500), key), Standing::Owner);
+    assert_eq!(x.status(at(1_500), key), OwnershipStatus::Owner);
     assert_eq!(x.unsure().collect::<Vec<_>>(), [&instance("z")], "only members in view are asked");
 }
 
@@ -165,13 +165,13 @@
     let mut new_owner = ownership(&next, at(0));
     new_owner.update(at(0), members(&["x", "y", "z"]), Members::new());
     new_owner.tick(at(1_500));
-    assert_eq!(new_owner.standing(at(1_500), key), Standing::Other(instance("x")));
+    assert_eq!(new_owner.status(at(1_500), key), OwnershipStatus::Other(instance("x")));
     new_owner.update(at(1_600), members(&["y", "z"]), members(&["x"]));
-    assert_eq!(new_owner.standing(at(1_600), key), Standing::OwnerAfter(vec![instance("x")]));
+    assert_eq!(new_owner.status(at(1_600), key), OwnershipStatus::OwnerAfter(vec![instance("x")]));
     new_owner.update(at(1_700), members(&["y", "z"]), Members::new());
-    assert_eq!(new_owner.standing(at(1_700), key), Standing::InDoubt);
+    assert_eq!(new_owner.status(at(1_700), key), OwnershipStatus::InDoubt);
     new_owner.tick(at(2_600));
-    assert_eq!(new_owner.standing(at(2_600), key), Standing::Owner);
+    assert_eq!(new_owner.status(at(2_600), key), OwnershipStatus::Owner);
 }
 
 /// Guards against runs on both sides of a network partition.
@@ -182,5 +182,5 @@
     x.tick(at(1_500));
     x.update(at(1_600), members(&["x"]), Members::new());
     x.tick(at(3_000));
-    assert_eq!(x.standing(at(3_000), KEY), Standing::InDoubt);
+    assert_eq!(x.status(at(3_000), KEY), OwnershipStatus::InDoubt);
 }
--- a/crates/sycamore-call/tests/decisions/model/key.rs
+++ b/crates/sycamore-call/tests/decisions/model/key.rs
@@ -10,7 +10,7 @@
 use std::fmt;
 use std::time::Duration;
 use sycamore_call::key::{owner_of, KeyEnd, Members, OwnershipConfig, Released};
-use sycamore_call::{KeyDecision, KeyHash, KeyTable, KeyTableConfig, Ownership, Standing};
+use sycamore_call::{KeyDecision, KeyHash, KeyTable, KeyTableConfig, Ownership, OwnershipStatus};
 use sycamore_model::Model;
 use sycamore_types::prelude::*;
 
@@ -200,10 +200,12 @@
         if state.nodes[node].table.peek(now, self.key, REQUEST).is_some() {
             return;
         }
-        let earlier = match state.nodes[node].ownership.standing(now, self.key) {
-            Standing::Owner => Vec::new(),
-            Standing::OwnerAfter(earlier) => earlier,
-            Standing::InDoubt | Standing::Other(_) | Standing::Nobody => return,
+        let earlier = match state.nodes[node].ownership.status(now, self.key) {
+            OwnershipStatus::Owner => Vec::new(),
+            OwnershipStatus::OwnerAfter(earlier) => earlier,
+            OwnershipStatus::InDoubt | OwnershipStatus::Other(_) | OwnershipStatus::Nobody => {
+                return
+            }
         };
         if state.nodes[node].table.begin(now, self.key, REQUEST) != KeyDecision::Run {
             return;
@@ -308,8 +310,8 @@
             }
             if is_running && state.requests > 0 {
                 actions.push(Action::Request { node: i, ask_lost: false });
-                let standing = node.ownership.standing(at(state.now), self.key);
-                if matches!(standing, Standing::OwnerAfter(_)) {
+                let status = node.ownership.status(at(state.now), self.key);
+                if matches!(status, OwnershipStatus::OwnerAfter(_)) {
                     actions.push(Action::Request { node: i, ask_lost: true });
                 }
             }
--- a/crates/sycamore-node/src/calls/keyed.rs
+++ b/crates/sycamore-node/src/calls/keyed.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use sycamore_call::key::{owner_of, KeyEnd, Released};
-use sycamore_call::{KeyDecision, KeyHash, Standing};
+use sycamore_call::{KeyDecision, KeyHash, OwnershipStatus};
 use sycamore_http::{Client, ClientConfig, Framing, RequestHead};
 use sycamore_types::headers;
 use sycamore_types::prelude::*;
@@ -152,12 +152,12 @@
         // An earlier run may be forgotten by now.
         return Err(KeyDecision::Unknown);
     }
-    let standing = state.ownership.borrow().standing(now, key);
-    let earlier = match standing {
-        Standing::Owner => Vec::new(),
-        Standing::OwnerAfter(earlier) => earlier,
+    let status = state.ownership.borrow().status(now, key);
+    let earlier = match status {
+        OwnershipStatus::Owner => Vec::new(),
+        OwnershipStatus::OwnerAfter(earlier) => earlier,
         // Not the owner by its own view: somebody else may be running it.
-        Standing::InDoubt | Standing::Other(_) | Standing::Nobody => {
+        OwnershipStatus::InDoubt | OwnershipStatus::Other(_) | OwnershipStatus::Nobody => {
             return Err(KeyDecision::Unknown);
         }
     };
