--- a/crates/sycamore-call/src/key/mod.rs
+++ b/crates/sycamore-call/src/key/mod.rs
@@ -10,7 +10,7 @@
 
 pub use owner::{owner_of, Members, Ownership, OwnershipConfig, OwnershipStatus};
 pub use table::{KeyDecision, KeyEnd, KeyTable, KeyTableConfig, Released};
-pub use unread::Unread;
+pub use unread::SuspensionTracker;
 
 use sycamore_types::prelude::*;
 
--- a/crates/sycamore-call/src/key/unread.rs
+++ b/crates/sycamore-call/src/key/unread.rs
@@ -15,13 +15,13 @@
 
 /// Tracker of the suspensions of this process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Unread {
+pub struct SuspensionTracker {
     last_tick: Time,
     /// Duration of the longest suspension that may still matter, and the end of the latest one.
     suspension: Option<(Duration, Time)>,
 }
 
-impl Unread {
+impl SuspensionTracker {
     /// Creates the tracker of a process that started at `now`.
     pub fn new(now: Time) -> Self {
         Self { last_tick: now, suspension: None }
@@ -40,7 +40,7 @@
     }
 
     /// Returns the maximum time that a request read at `now` may have waited in a socket.
-    pub fn longest(&self, now: Time) -> Duration {
+    pub fn max_socket_wait(&self, now: Time) -> Duration {
         let ongoing = Some(now.since(self.last_tick)).filter(|gap| *gap >= MIN_SUSPENSION);
         let past = self.suspension.map(|(duration, _)| duration);
         ongoing.max(past).unwrap_or_default()
--- a/crates/sycamore-node/src/calls/serve.rs
+++ b/crates/sycamore-node/src/calls/serve.rs
@@ -266,7 +266,7 @@
         depth: Depth { level: depth.level + 1, ..depth },
         deadline: now + time,
         began: now,
-        unread: state.unread.borrow().longest(now),
+        unread: state.unread.borrow().max_socket_wait(now),
         objective: route.policy.objective.map(|time| now + time.saturating_sub(waited)),
         origin: state.hub.settings.node.service.clone(),
         repeats: match route.policy.repeat {
@@ -352,7 +352,7 @@
         return respond(inbound, &keyed::release(state, &msg.head)).await;
     }
     let now = state.now();
-    let unread = state.unread.borrow().longest(now);
+    let unread = state.unread.borrow().max_socket_wait(now);
     let Some((meta, target)) = CallMeta::read(now, unread, &msg.head.headers) else {
         inbound.closes = true;
         let answer = Answer::rejected(StatusCode::BAD_REQUEST, "malformed", "no call of a node");
--- a/crates/sycamore-node/src/calls/state.rs
+++ b/crates/sycamore-node/src/calls/state.rs
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use sycamore_call::announce::AnnouncementLog;
-use sycamore_call::key::{OwnershipConfig, Unread};
+use sycamore_call::key::{OwnershipConfig, SuspensionTracker};
 use sycamore_call::route::VersionBans;
 use sycamore_call::{
     Admission, AdmissionConfig, CrashLog, CrashLogConfig, Gate, KeyTable, KeyTableConfig,
@@ -76,7 +76,7 @@
     pub(super) keys: RefCell<KeyTable<Rc<StoredAnswer>>>,
     pub(super) ownership: RefCell<Ownership>,
     /// How long requests may lie before they are read.
-    pub(super) unread: RefCell<Unread>,
+    pub(super) unread: RefCell<SuspensionTracker>,
     /// Members of the service that have this node in view.
     pub(super) known_by: RefCell<KnownBy>,
     pub(super) upstreams: Pool,
@@ -125,7 +125,7 @@
             keys: RefCell::new(KeyTable::new(KeyTableConfig { memory, ..Default::default() })),
             known_by: RefCell::default(),
             ownership: RefCell::new(Ownership::new(me, ownership, now)),
-            unread: RefCell::new(Unread::new(now)),
+            unread: RefCell::new(SuspensionTracker::new(now)),
             upstreams: Pool::new(UPSTREAM_IDLE, UPSTREAM_IDLE_TIME),
             relays: Pool::new(RELAY_IDLE, RELAY_IDLE_TIME),
             bodies: BodyMemory::new(settings.body_memory, metrics.body_bytes().clone()),
