--- a/crates/sycamore-call/src/announce/mod.rs
+++ b/crates/sycamore-call/src/announce/mod.rs
@@ -14,7 +14,7 @@
 
 /// Position of a message in the order of an upstream's messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum MessageOrder {
     /// The message is the newest of the current process, or the first of a later one.
     Current,
     /// The message is of the current process but repeats or predates one already applied.
@@ -39,38 +39,38 @@
 
 impl AnnouncementLog {
     /// Records an announcement; `sequence` numbers the announcements of one process.
-    pub fn announced(&mut self, process: ProcessRef<'_>, sequence: Option<u64>) -> Heard {
+    pub fn announced(&mut self, process: ProcessRef<'_>, sequence: Option<u64>) -> MessageOrder {
         match (self.order_of(process), &mut self.current) {
-            (ProcessOrder::Earlier, _) => Heard::Earlier,
+            (ProcessOrder::Earlier, _) => MessageOrder::Earlier,
             (ProcessOrder::Same, Some(current)) => {
                 let is_repeated = sequence.is_some() && sequence <= current.sequence;
                 if is_repeated || (current.left && current.name.is_some()) {
-                    return Heard::Repeated;
+                    return MessageOrder::Repeated;
                 }
                 current.sequence = sequence;
                 current.left = false;
-                Heard::Current
+                MessageOrder::Current
             }
             _ => {
                 self.start_process(process, sequence, false);
-                Heard::Current
+                MessageOrder::Current
             }
         }
     }
 
     /// Records the message by which an upstream process leaves.
-    pub fn left(&mut self, process: ProcessRef<'_>) -> Heard {
+    pub fn left(&mut self, process: ProcessRef<'_>) -> MessageOrder {
         match (self.order_of(process), &mut self.current) {
-            (ProcessOrder::Earlier, _) => Heard::Earlier,
+            (ProcessOrder::Earlier, _) => MessageOrder::Earlier,
             (ProcessOrder::Same, Some(current)) => {
                 current.left = true;
-                Heard::Current
+                MessageOrder::Current
             }
             // Without a start time, a process of another name can't be recognised as a later one.
-            (_, Some(_)) if process.started.is_none() => Heard::Earlier,
+            (_, Some(_)) if process.started.is_none() => MessageOrder::Earlier,
             _ => {
                 self.start_process(process, None, true);
-                Heard::Current
+                MessageOrder::Current
             }
         }
     }
--- a/crates/sycamore-node/src/calls/announce.rs
+++ b/crates/sycamore-node/src/calls/announce.rs
@@ -11,7 +11,7 @@
 use slog::{info, warn};
 use std::rc::Rc;
 use std::time::Duration;
-use sycamore_call::announce::{Heard, ProcessRef};
+use sycamore_call::announce::{MessageOrder, ProcessRef};
 
 /// Time without an announcement after which the upstream is taken for dead.
 const SILENCE: Duration = Duration::from_secs(5);
@@ -32,11 +32,11 @@
         Err(err) => Err(err),
     };
     match heard {
-        Ok(Heard::Current | Heard::Repeated) => {
+        Ok(MessageOrder::Current | MessageOrder::Repeated) => {
             let in_flight = state.admission.borrow().load().running;
             respond(inbound, &state.edges.upstream.acknowledge(in_flight)).await
         }
-        Ok(Heard::Earlier) => {
+        Ok(MessageOrder::Earlier) => {
             state.metrics.announcement("earlier");
             let detail = "a later start of the upstream is known";
             let answer = Answer::rejected(StatusCode::CONFLICT, "earlier", detail);
@@ -51,14 +51,14 @@
     }
 }
 
-fn announced(state: &State, said: Announcement) -> Result<Heard, String> {
+fn announced(state: &State, said: Announcement) -> Result<MessageOrder, String> {
     let own = &state.hub.settings.node.service;
     if let Some(other) = said.service.as_ref().filter(|service| *service != own) {
         return Err(format!("service {other} is not this node's, {own}"));
     }
     let process = process_ref(&said.process);
     let heard = state.announcements.borrow_mut().announced(process, said.sequence);
-    if heard == Heard::Current {
+    if heard == MessageOrder::Current {
         state.metrics.announcement("taken");
         take(state, said);
     }
@@ -98,9 +98,9 @@
     }
 }
 
-fn left(state: &State, process: &Process) -> Heard {
+fn left(state: &State, process: &Process) -> MessageOrder {
     let heard = state.announcements.borrow_mut().left(process_ref(process));
-    if heard == Heard::Current {
+    if heard == MessageOrder::Current {
         drain(state);
         info!(state.hub.log, "upstream leaves"; "upstream" => process.name.as_deref().unwrap_or("-"));
     }
