--- a/crates/sycamore-call/src/key/owner.rs
+++ b/crates/sycamore-call/src/key/owner.rs
@@ -81,7 +81,7 @@
     /// Members in view that are draining.
     leaving: Members,
     /// Members that have not confirmed that they have this node in view.
-    unsure: Members,
+    unconfirmed: Members,
     /// Members that vanished without leaving, with the time at which they did.
     lost: BTreeMap<InstanceId, Time>,
 }
@@ -113,7 +113,7 @@
             last_tick: now,
             views: VecDeque::new(),
             leaving: Members::new(),
-            unsure: Members::new(),
+            unconfirmed: Members::new(),
             lost: BTreeMap::new(),
         }
     }
@@ -153,16 +153,18 @@
     }
 
     /// Sets the members that have not confirmed that they have this node in view.
-    pub fn set_unsure(&mut self, unsure: Members) {
-        self.unsure = unsure;
+    pub fn set_unconfirmed(&mut self, unconfirmed: Members) {
+        self.unconfirmed = unconfirmed;
     }
 
     /// Iterates over the members in view that may consider themselves the owner of a key that this
     /// node owns. Each of them must report that it has not run the call, and release its key,
     /// before this node runs it.
-    pub fn unsure(&self) -> impl Iterator<Item = &InstanceId> {
+    pub fn unconfirmed(&self) -> impl Iterator<Item = &InstanceId> {
         let view = self.views.back().map(|(_, members)| members);
-        self.unsure.keys().filter(move |member| view.is_some_and(|view| view.contains_key(*member)))
+        self.unconfirmed
+            .keys()
+            .filter(move |member| view.is_some_and(|view| view.contains_key(*member)))
     }
 
     /// Returns the status of this node as the owner of `key`.
--- a/crates/sycamore-call/tests/decisions/key.rs
+++ b/crates/sycamore-call/tests/decisions/key.rs
@@ -151,10 +151,14 @@
     let key = key_of("x", &["x", "y", "z"]);
     let mut x = ownership("x", at(0));
     x.update(at(0), members(&["x", "y", "z"]), Members::new());
-    x.set_unsure(members(&["w", "z"]));
+    x.set_unconfirmed(members(&["w", "z"]));
     x.tick(at(1_500));
     assert_eq!(x.status(at(1_500), key), OwnershipStatus::Owner);
-    assert_eq!(x.unsure().collect::<Vec<_>>(), [&instance("z")], "only members in view are asked");
+    assert_eq!(
+        x.unconfirmed().collect::<Vec<_>>(),
+        [&instance("z")],
+        "only members in view are asked"
+    );
 }
 
 /// Guards against a second run by the new owner when the previous owner leaves or vanishes.
--- a/crates/sycamore-node/src/calls/introduce.rs
+++ b/crates/sycamore-node/src/calls/introduce.rs
@@ -52,7 +52,7 @@
 /// Tells the ownership of keys which members may not know this node.
 pub(super) fn update(state: &State) {
     let unsure = unsure(state);
-    state.ownership.borrow_mut().set_unsure(unsure);
+    state.ownership.borrow_mut().set_unconfirmed(unsure);
 }
 
 /// Members of the service that have not confirmed that they have this node in view.
--- a/crates/sycamore-node/src/calls/keyed.rs
+++ b/crates/sycamore-node/src/calls/keyed.rs
@@ -169,7 +169,7 @@
     // A member that is asked whether the key has run anywhere tells of its own runs as well.
     let unsure: Vec<InstanceId> = {
         let ownership = state.ownership.borrow();
-        ownership.unsure().filter(|member| !earlier.contains(member)).cloned().collect()
+        ownership.unconfirmed().filter(|member| !earlier.contains(member)).cloned().collect()
     };
     let earlier = earlier.into_iter().map(|owner| (owner, Scope::All));
     for (member, scope) in earlier.chain(unsure.into_iter().map(|member| (member, Scope::Own))) {
