--- a/crates/sycamore-call/src/key/owner.rs
+++ b/crates/sycamore-call/src/key/owner.rs
@@ -74,6 +74,7 @@
 pub struct Ownership {
     own_id: InstanceId,
     config: OwnershipConfig,
+    /// Time from which the views are complete: the last start, suspension or loss of a view.
     known_since: Time,
     last_tick: Time,
     /// Views of the service's members, each with the time from which it was in force, oldest first.
--- a/crates/sycamore-call/tests/decisions/load/unproven_version_under_load.rs
+++ b/crates/sycamore-call/tests/decisions/load/unproven_version_under_load.rs
@@ -32,17 +32,17 @@
         region: &region,
         bytes: Some(0),
     };
-    let mut under_way: BTreeMap<String, u32> = BTreeMap::new();
+    let mut in_flight: BTreeMap<String, u32> = BTreeMap::new();
     // At a share of 10%, about five of these calls go to the new version and stay in flight.
     for _ in 0..50 {
         let choice = router.pick(at(2), &pick).unwrap();
         if choice.version.as_str() == "2" {
-            *under_way.entry(choice.instance.to_string()).or_default() += 1;
+            *in_flight.entry(choice.instance.to_string()).or_default() += 1;
         }
     }
-    let all: u32 = under_way.values().sum();
-    let first = under_way.get("n1").copied().unwrap_or_default();
-    assert!(all >= 3, "{under_way:?}");
-    assert!(2 * first >= all, "the first instance has most of them: {under_way:?}");
-    assert!(first <= 6, "and is loaded no more than the settled ones: {under_way:?}");
+    let all: u32 = in_flight.values().sum();
+    let first = in_flight.get("n1").copied().unwrap_or_default();
+    assert!(all >= 3, "{in_flight:?}");
+    assert!(2 * first >= all, "the first instance has most of them: {in_flight:?}");
+    assert!(first <= 6, "and is loaded no more than the stable version's: {in_flight:?}");
 }
--- a/crates/sycamore-call/tests/decisions/model/attempt.rs
+++ b/crates/sycamore-call/tests/decisions/model/attempt.rs
@@ -90,7 +90,7 @@
         (admission, last)
     }
 
-    /// Gives `input` to the admission of `upstream`; returns its decision on the call.
+    /// Applies `input` to the admission of `upstream`; returns its decision on the call.
     fn apply_input(state: &mut State, upstream: usize, input: Input) -> Option<Decision> {
         state.inputs[upstream].push(input);
         let (_, decisions) = Self::admission(&state.inputs[upstream]);
--- a/crates/sycamore-call/tests/decisions/model/key.rs
+++ b/crates/sycamore-call/tests/decisions/model/key.rs
@@ -74,7 +74,7 @@
             Action::Restart(node) => write!(f, "node {node} restarts"),
             Action::Suspend(node) => write!(f, "node {node} is suspended"),
             Action::Resume(node) => write!(f, "node {node} resumes"),
-            Action::Partition(sides) => write!(f, "the network is partitioned as {sides:?}"),
+            Action::Partition(sides) => write!(f, "the sides of the network become {sides:?}"),
             Action::Request { node, ask_lost: false } => write!(f, "node {node} gets the call"),
             Action::Request { node, ask_lost: true } => {
                 write!(f, "node {node} gets the call, and the answers to its queries are lost")
@@ -137,7 +137,7 @@
 }
 
 impl Keys {
-    fn fresh(&self, node: usize, now: u8, incarnation: u64) -> Node {
+    fn new_node(&self, node: usize, now: u8, incarnation: u64) -> Node {
         let memory = UNIT * u32::from(self.remembered);
         Node {
             alive: true,
@@ -264,7 +264,7 @@
             }
             Action::Restart(node) => {
                 let incarnation = next.nodes[node].incarnation + 1;
-                next.nodes[node] = self.fresh(node, next.now, incarnation);
+                next.nodes[node] = self.new_node(node, next.now, incarnation);
                 self.topology_changed(&mut next);
             }
             Action::Suspend(node) => {
@@ -332,7 +332,7 @@
         let now = CERTAIN_AFTER;
         let mut state = State {
             now: 0,
-            nodes: (0..NODES).map(|node| self.fresh(node, 0, 1)).collect(),
+            nodes: (0..NODES).map(|node| self.new_node(node, 0, 1)).collect(),
             sides: PARTITIONS[0],
             last_run: None,
             ran_twice_within_memory: false,
