--- a/crates/sycamore-node/src/calls/announce.rs
+++ b/crates/sycamore-node/src/calls/announce.rs
@@ -11,7 +11,7 @@
 use slog::{info, warn};
 use std::rc::Rc;
 use std::time::Duration;
-use sycamore_call::announce::{Heard, ProcessRef};
+use sycamore_call::announce::{MessageOrder, ProcessRef};
 
 /// Time without an announcement after which the upstream counts as lost.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(5);
@@ -32,11 +32,11 @@
         Err(err) => Err(err),
     };
     match heard {
-        Ok(Heard::Current | Heard::Repeated) => {
+        Ok(MessageOrder::Current | MessageOrder::Repeated) => {
             let in_flight = state.admission.borrow().load().running;
             respond(inbound, &state.edges.upstream.acknowledge(in_flight)).await
         }
-        Ok(Heard::Earlier) => {
+        Ok(MessageOrder::Earlier) => {
             state.metrics.count_announcement("earlier");
             let detail = "a later start of the upstream has announced itself already";
             let answer = Answer::rejected(StatusCode::CONFLICT, "earlier", detail);
@@ -51,14 +51,14 @@
     }
 }
 
-fn record_announcement(state: &State, announcement: Announcement) -> Result<Heard, String> {
+fn record_announcement(state: &State, announcement: Announcement) -> Result<MessageOrder, String> {
     let own = &state.hub.settings.node.service;
     if let Some(other) = announcement.service.as_ref().filter(|service| *service != own) {
         return Err(format!("announcement names service {other}, expected {own}"));
     }
     let process = process_ref(&announcement.process);
     let heard = state.announcements.borrow_mut().announced(process, announcement.sequence);
-    if heard == Heard::Current {
+    if heard == MessageOrder::Current {
         state.metrics.count_announcement("taken");
         apply_announcement(state, announcement);
     }
@@ -98,9 +98,9 @@
     }
 }
 
-fn record_leave(state: &State, process: &Process) -> Heard {
+fn record_leave(state: &State, process: &Process) -> MessageOrder {
     let heard = state.announcements.borrow_mut().left(process_ref(process));
-    if heard == Heard::Current {
+    if heard == MessageOrder::Current {
         mark_draining(state);
         info!(state.hub.log, "upstream draining"; "upstream" => process.name.as_deref().unwrap_or("-"));
     }
--- a/crates/sycamore-node/src/calls/introduce.rs
+++ b/crates/sycamore-node/src/calls/introduce.rs
@@ -53,7 +53,7 @@
 /// Passes the members that may not have this node in their view to the ownership of keys.
 pub(super) fn update_ownership(state: &State) {
     let unconfirmed = unconfirmed(state);
-    state.ownership.borrow_mut().set_unsure(unconfirmed);
+    state.ownership.borrow_mut().set_unconfirmed(unconfirmed);
 }
 
 /// Returns the members of the service that have not confirmed that this node is in their view.
--- a/crates/sycamore-node/src/calls/keyed.rs
+++ b/crates/sycamore-node/src/calls/keyed.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use sycamore_call::key::{owner_of, KeyEnd, Released};
-use sycamore_call::{KeyDecision, KeyHash, Standing};
+use sycamore_call::{KeyDecision, KeyHash, OwnershipStatus};
 use sycamore_http::{Client, ClientConfig, Framing, RequestHead};
 use sycamore_types::headers;
 use sycamore_types::prelude::*;
@@ -166,12 +166,12 @@
         // The record of an earlier run may have expired already.
         return Err(KeyDecision::Unknown);
     }
-    let standing = state.ownership.borrow().standing(now, key);
-    let earlier = match standing {
-        Standing::Owner => Vec::new(),
-        Standing::OwnerAfter(earlier) => earlier,
+    let status = state.ownership.borrow().status(now, key);
+    let earlier = match status {
+        OwnershipStatus::Owner => Vec::new(),
+        OwnershipStatus::OwnerAfter(earlier) => earlier,
         // By its own view this node is not the owner: another member may be running the call.
-        Standing::InDoubt | Standing::Other(_) | Standing::Nobody => {
+        OwnershipStatus::InDoubt | OwnershipStatus::Other(_) | OwnershipStatus::Nobody => {
             return Err(KeyDecision::Unknown);
         }
     };
@@ -183,7 +183,7 @@
     // An earlier owner answers for its own runs as well, so it is asked only once.
     let unsure: Vec<InstanceId> = {
         let ownership = state.ownership.borrow();
-        ownership.unsure().filter(|member| !earlier.contains(member)).cloned().collect()
+        ownership.unconfirmed().filter(|member| !earlier.contains(member)).cloned().collect()
     };
     let earlier = earlier.into_iter().map(|owner| (owner, Scope::All));
     for (member, scope) in earlier.chain(unsure.into_iter().map(|member| (member, Scope::Own))) {
--- a/crates/sycamore-node/src/calls/serve.rs
+++ b/crates/sycamore-node/src/calls/serve.rs
@@ -284,7 +284,7 @@
         depth: Depth { level: depth.level + 1, ..depth },
         deadline: now + time,
         received_at: now,
-        max_prior_age: state.unread.borrow().longest(now),
+        max_prior_age: state.unread.borrow().max_socket_wait(now),
         objective: route.policy.objective.map(|time| now + time.saturating_sub(waited)),
         origin: state.hub.settings.node.service.clone(),
         is_repeatable: match route.policy.repeat {
@@ -373,7 +373,7 @@
         return respond(inbound, &keyed::release(state, &msg.head)).await;
     }
     let now = state.now();
-    let unread = state.unread.borrow().longest(now);
+    let unread = state.unread.borrow().max_socket_wait(now);
     let Some((meta, target)) = CallMeta::read(now, unread, &msg.head.headers) else {
         inbound.closes = true;
         let detail = "the header fields of a relayed call are missing or malformed";
--- a/crates/sycamore-node/src/calls/state.rs
+++ b/crates/sycamore-node/src/calls/state.rs
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use sycamore_call::announce::AnnouncementLog;
-use sycamore_call::key::{OwnershipConfig, Unread};
+use sycamore_call::key::{OwnershipConfig, SuspensionTracker};
 use sycamore_call::route::VersionBans;
 use sycamore_call::{
     Admission, AdmissionConfig, CrashLog, CrashLogConfig, Gate, KeyTable, KeyTableConfig,
@@ -82,7 +82,7 @@
     pub(super) keys: RefCell<KeyTable<Rc<StoredAnswer>>>,
     pub(super) ownership: RefCell<Ownership>,
     /// Bound on how long a received request may wait in a socket buffer before it is read.
-    pub(super) unread: RefCell<Unread>,
+    pub(super) unread: RefCell<SuspensionTracker>,
     /// Members of the service that confirmed that this node is in their view.
     pub(super) confirmed_by: RefCell<ViewConfirmations>,
     pub(super) upstreams: Pool,
@@ -131,7 +131,7 @@
             keys: RefCell::new(KeyTable::new(KeyTableConfig { memory, ..Default::default() })),
             confirmed_by: RefCell::default(),
             ownership: RefCell::new(Ownership::new(me, ownership, now)),
-            unread: RefCell::new(Unread::new(now)),
+            unread: RefCell::new(SuspensionTracker::new(now)),
             upstreams: Pool::new(MAX_IDLE_PER_UPSTREAM, UPSTREAM_IDLE_TIMEOUT),
             relays: Pool::new(MAX_IDLE_PER_RELAY, RELAY_IDLE_TIMEOUT),
             bodies: BodyMemory::new(settings.body_memory, metrics.body_bytes().clone()),
