--- a/crates/sycamore-config/src/apply/candidate.rs
+++ b/crates/sycamore-config/src/apply/candidate.rs
@@ -1,4 +1,4 @@
-//! A head on its way into force.
+//! Configuration that is being fetched.
 
 use super::{ApplySettings, RejectReason, Source};
 use crate::bundle::Bundle;
@@ -7,26 +7,30 @@
 use std::collections::BTreeMap;
 use sycamore_types::prelude::*;
 
-/// Verified bytes by their hash.
+/// Verified objects by content hash.
 pub(super) type ObjectMap = BTreeMap<ContentHash, Bytes>;
 
-/// A checked configuration with its objects, or why it is none.
-pub(super) type Whole = Result<(Snapshot, ObjectMap), RejectReason>;
+/// Decoded configuration with its objects, or the reason why it is invalid.
+pub(super) type Assembled = Result<(Snapshot, ObjectMap), RejectReason>;
 
-/// A head with what was fetched of it so far.
+/// Configuration that is being fetched, with the objects received so far.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Candidate {
     pub(super) head: ConfigHead,
     pub(super) manifest: Option<Manifest>,
     pub(super) objects: ObjectMap,
+    /// Set while a fetch is pending.
     pub(super) fetching: bool,
+    /// Earliest time of the next fetch.
     pub(super) due: Time,
+    /// Position in the cycle of peer and store attempts, which also determines the backoff.
     failures: u32,
-    absent: u32,
+    /// Number of [`super::FetchAnswer::Absent`] answers so far.
+    absent_answers: u32,
 }
 
 impl Candidate {
-    /// A head whose first fetch goes to `first`, at `due`.
+    /// Creates a candidate whose first fetch goes to `first`, not before `due`.
     pub(super) fn new(
         head: ConfigHead,
         first: Source,
@@ -44,12 +48,13 @@
             fetching: false,
             due,
             failures,
-            absent: 0,
+            absent_answers: 0,
         }
     }
 
-    /// Where the next fetch goes: each time to a few peers first.
-    pub(super) fn source(&self, settings: &ApplySettings) -> Source {
+    /// Returns the origin of the next fetch: the store after every `peer_attempts` fetches from
+    /// peers.
+    pub(super) fn next_source(&self, settings: &ApplySettings) -> Source {
         let cycle = settings.peer_attempts + 1;
         match self.failures % cycle == settings.peer_attempts {
             true => Source::Store,
@@ -57,23 +62,25 @@
         }
     }
 
-    /// Counts a fetch that brought nothing and delays the next one.
-    pub(super) fn fail(&mut self, settings: &ApplySettings, now: Time) {
+    /// Counts a fetch without useful objects and delays the next one.
+    pub(super) fn record_failure(&mut self, settings: &ApplySettings, now: Time) {
         self.failures += 1;
         if self.failures > settings.max_failures {
+            // Goes back by one whole cycle, which keeps the order of peers and store.
             self.failures -= settings.peer_attempts + 1;
         }
         let seed = settings.seed ^ self.head.version.0;
         self.due = now + settings.backoff.delay(self.failures, seed);
     }
 
-    /// Counts an answer that the store has no such object; tells whether that was one too many.
-    pub(super) fn count_absent(&mut self, settings: &ApplySettings) -> bool {
-        self.absent += 1;
-        self.absent >= settings.max_absent
+    /// Counts an answer that the store lacks the object; returns whether the limit is reached.
+    pub(super) fn record_absent(&mut self, settings: &ApplySettings) -> bool {
+        self.absent_answers += 1;
+        self.absent_answers >= settings.max_absent
     }
 
-    /// Hashes that are still missing, given what is in force.
+    /// Returns the hashes of objects that are neither received nor among those in force; only the
+    /// manifest's while the manifest is missing.
     pub(super) fn missing(&self, in_force: &ObjectMap) -> Vec<ContentHash> {
         match &self.manifest {
             None => vec![self.head.manifest],
@@ -86,34 +93,40 @@
         }
     }
 
-    /// Keeps those of `bodies` that are wanted and match their hash; tells whether any did.
-    pub(super) fn take(
+    /// Stores those of `bodies` whose hash is missing; returns whether there were any.
+    ///
+    /// # Errors
+    /// Returns the reason for a rejection if the manifest is invalid or the objects exceed
+    /// [`ApplySettings::max_bytes`].
+    pub(super) fn add_objects(
         &mut self,
         bodies: &[Bytes],
         in_force: &ObjectMap,
         settings: &ApplySettings,
     ) -> Result<bool, RejectReason> {
-        let found: ObjectMap =
-            bodies.iter().map(|body| (ContentHash::of(body), body)).map(copy).collect();
-        let mut any = self.take_manifest(&found)?;
+        let received: ObjectMap =
+            bodies.iter().map(|body| (ContentHash::of(body), body)).map(copy_body).collect();
+        let mut any_added = self.add_manifest(&received)?;
         for hash in self.missing(in_force) {
-            if let Some(body) = found.get(&hash) {
+            if let Some(body) = received.get(&hash) {
                 self.objects.insert(hash, body.clone());
-                any = true;
+                any_added = true;
             }
         }
         let bytes: usize = self.objects.values().map(Bytes::len).sum();
         match bytes > settings.max_bytes {
             true => Err(RejectReason::TooLarge(settings.max_bytes)),
-            false => Ok(any),
+            false => Ok(any_added),
         }
     }
 
-    fn take_manifest(&mut self, found: &ObjectMap) -> Result<bool, RejectReason> {
+    /// Decodes and stores the manifest if it is missing and among `received`; returns whether it
+    /// was.
+    fn add_manifest(&mut self, received: &ObjectMap) -> Result<bool, RejectReason> {
         if self.manifest.is_some() {
             return Ok(false);
         }
-        let Some(body) = found.get(&self.head.manifest) else {
+        let Some(body) = received.get(&self.head.manifest) else {
             return Ok(false);
         };
         let manifest = Manifest::decode(body).ok_or(RejectReason::BadManifest)?;
@@ -125,8 +138,8 @@
         Ok(true)
     }
 
-    /// The whole configuration once nothing is missing.
-    pub(super) fn whole(&self, in_force: &ObjectMap) -> Option<Whole> {
+    /// Decodes and validates the configuration; `None` while objects are missing.
+    pub(super) fn assemble(&self, in_force: &ObjectMap) -> Option<Assembled> {
         let manifest = self.manifest.as_ref()?;
         if !self.missing(in_force).is_empty() {
             return None;
@@ -136,16 +149,17 @@
             let body = self.objects.get(hash).or_else(|| in_force.get(hash))?;
             objects.insert(*hash, body.clone());
         }
-        Some(snapshot(manifest, &objects).map(|snapshot| (snapshot, objects)))
+        Some(decode_snapshot(manifest, &objects).map(|snapshot| (snapshot, objects)))
     }
 }
 
-/// Copies `body`, so that it does not keep a larger buffer alive.
-fn copy((hash, body): (ContentHash, &Bytes)) -> (ContentHash, Bytes) {
+/// Copies `body`, so that it doesn't keep the larger receive buffer alive.
+fn copy_body((hash, body): (ContentHash, &Bytes)) -> (ContentHash, Bytes) {
     (hash, Bytes::copy_from_slice(body))
 }
 
-fn snapshot(manifest: &Manifest, objects: &ObjectMap) -> Result<Snapshot, RejectReason> {
+/// Decodes and validates the resources of `manifest`.
+fn decode_snapshot(manifest: &Manifest, objects: &ObjectMap) -> Result<Snapshot, RejectReason> {
     let mut resources = Vec::with_capacity(manifest.resources.len());
     for hash in &manifest.resources {
         let resource = objects.get(hash).and_then(|body| decode_resource(body));
--- a/crates/sycamore-config/src/apply/machine.rs
+++ b/crates/sycamore-config/src/apply/machine.rs
@@ -1,32 +1,34 @@
-//! The apply machine.
+//! State machine that fetches, verifies and applies configurations.
 
-use super::candidate::{Candidate, ObjectMap, Whole};
+use super::candidate::{Assembled, Candidate, ObjectMap};
 use super::{Action, ApplySettings, FetchAnswer, Input, RejectReason, Source};
 use crate::manifest::unpack;
 use bytes::Bytes;
 use std::collections::VecDeque;
 use sycamore_types::prelude::*;
 
-/// Rejected heads that are remembered, so that they are not fetched again.
+/// Upper bound on remembered rejected heads, which are not fetched again.
 const MAX_REJECTED: usize = 32;
 
-/// Follows heads, fetches what is missing, and puts only whole, checked, higher configurations
-/// into force, and none below the floor.
+/// State machine that fetches the configurations of learned heads and applies them.
+///
+/// A configuration is applied only if it is complete, valid, of a higher version than the one in
+/// force, and not below the version floor.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Apply {
     settings: ApplySettings,
     floor: Option<ConfigVersion>,
-    /// The version in force; `None` until the first one.
+    /// Version in force; `None` before the first one.
     in_force: Option<ConfigVersion>,
     head: Option<ConfigHead>,
     objects: ObjectMap,
-    /// Highest head first.
+    /// Configurations being fetched, highest head first.
     candidates: Vec<Candidate>,
     rejected: VecDeque<ConfigHead>,
 }
 
 impl Apply {
-    /// A node without a configuration and without a floor.
+    /// Creates a machine without a configuration and without a version floor.
     pub fn new(settings: ApplySettings) -> Self {
         Self {
             settings,
@@ -39,60 +41,70 @@
         }
     }
 
-    /// The head in force; `None` before the first one and for the empty configuration.
+    /// Returns the head in force; `None` before the first one and for the empty configuration.
     pub fn head(&self) -> Option<ConfigHead> {
         self.head
     }
 
-    /// The version in force; `None` until there is one.
+    /// Returns the version in force; `None` before the first one.
     pub fn in_force(&self) -> Option<ConfigVersion> {
         self.in_force
     }
 
-    /// The highest head that is in force or on its way.
+    /// Returns the highest head that is in force or being fetched.
     pub fn highest(&self) -> Option<ConfigHead> {
         self.candidates.first().map(|candidate| candidate.head).max(self.head)
     }
 
-    /// An object to serve to a peer, of the configuration in force or of one on its way.
+    /// Returns an object, to be served to a peer, of the configuration in force or of one being
+    /// fetched.
     pub fn object(&self, hash: &ContentHash) -> Option<&Bytes> {
-        let fetched = || self.candidates.iter().find_map(|candidate| candidate.objects.get(hash));
-        self.objects.get(hash).or_else(fetched)
+        let of_candidate =
+            || self.candidates.iter().find_map(|candidate| candidate.objects.get(hash));
+        self.objects.get(hash).or_else(of_candidate)
     }
 
-    /// Whether the object is part of a configuration on its way that this node does not hold yet.
+    /// Returns whether the object is missing for a configuration that is being fetched.
     pub fn is_wanted(&self, hash: &ContentHash) -> bool {
         self.candidates.iter().any(|candidate| candidate.missing(&self.objects).contains(hash))
     }
 
-    /// When the machine next wants a [`Input::Tick`]; `None` while nothing is delayed.
+    /// Returns the time at which [`Input::Tick`] is due; `None` if no fetch is delayed.
     pub fn next_tick(&self) -> Option<Time> {
         let waiting = |c: &&Candidate| !c.fetching && !c.missing(&self.objects).is_empty();
         self.candidates.iter().filter(waiting).map(|c| c.due).min()
     }
 
-    /// Takes one input and decides what follows from it.
+    /// Processes one input and returns the operations to perform.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Action> {
         let mut actions = Vec::new();
         match input {
-            Input::Heard { head, from, lead } => self.hear(now + lead, head, from, &mut actions),
-            Input::Given { head, pack } => self.given(now, head, pack, &mut actions),
-            Input::Floor(version) => self.learn_floor(version, &mut actions),
-            Input::Fetched { head, answer } => self.fetched(now, head, answer, &mut actions),
+            Input::Heard { head, from, lead } => {
+                self.on_head(now + lead, head, from, &mut actions);
+            }
+            Input::Given { head, pack } => self.on_pack(now, head, pack, &mut actions),
+            Input::Floor(version) => self.on_floor(version, &mut actions),
+            Input::Fetched { head, answer } => self.on_fetched(now, head, answer, &mut actions),
             Input::Tick => {}
         }
-        self.advance(&mut actions);
-        self.fetch(now, &mut actions);
+        self.apply_complete(&mut actions);
+        self.start_fetches(now, &mut actions);
         actions
     }
 
-    fn hear(&mut self, due: Time, head: ConfigHead, from: Source, actions: &mut Vec<Action>) {
-        self.follow(due, head, from, actions);
+    fn on_head(&mut self, due: Time, head: ConfigHead, from: Source, actions: &mut Vec<Action>) {
+        self.add_candidate(due, head, from, actions);
         self.candidates.truncate(self.settings.candidates);
     }
 
-    /// Follows `head`, unless it is known or of no use.
-    fn follow(&mut self, due: Time, head: ConfigHead, from: Source, actions: &mut Vec<Action>) {
+    /// Adds a candidate for `head`, unless it is known, rejected, too low or conflicting.
+    fn add_candidate(
+        &mut self,
+        due: Time,
+        head: ConfigHead,
+        from: Source,
+        actions: &mut Vec<Action>,
+    ) {
         if self.rejected.contains(&head) || self.candidates.iter().any(|c| c.head == head) {
             return;
         }
@@ -100,48 +112,51 @@
             self.reject(head, RejectReason::Conflicting, actions);
             return;
         }
-        if !self.is_higher(head.version) {
+        if !self.is_applicable(head.version) {
             return;
         }
         let at = self.candidates.partition_point(|candidate| candidate.head > head);
-        // A starting node asks peers first all the same: many may start at once.
+        // A starting node asks peers first even for a head from the platform, because many nodes
+        // may start at once.
         let first = if self.in_force.is_none() { Source::Peer } else { from };
         self.candidates.insert(at, Candidate::new(head, first, &self.settings, due));
     }
 
-    /// Takes a whole configuration, also where higher heads are being followed already: it is in
-    /// force until they are whole.
-    fn given(&mut self, now: Time, head: ConfigHead, pack: Bytes, actions: &mut Vec<Action>) {
-        self.follow(now, head, Source::Store, actions);
+    /// Applies a complete configuration even if higher heads are being fetched: it stays in force
+    /// until one of those is complete.
+    fn on_pack(&mut self, now: Time, head: ConfigHead, pack: Bytes, actions: &mut Vec<Action>) {
+        self.add_candidate(now, head, Source::Store, actions);
         let Some(candidate) = self.candidates.iter_mut().find(|c| c.head == head) else {
             return;
         };
-        let taken = candidate.take(&unpack(pack), &self.objects, &self.settings);
-        if let Err(reason) = taken {
+        let added = candidate.add_objects(&unpack(pack), &self.objects, &self.settings);
+        if let Err(reason) = added {
             self.reject(head, reason, actions);
         }
-        self.advance(actions);
+        self.apply_complete(actions);
         self.candidates.truncate(self.settings.candidates);
     }
 
+    /// Returns whether `head` has the version in force but a different manifest.
     fn is_conflicting(&self, head: ConfigHead) -> bool {
-        self.head.is_some_and(|own| own.version == head.version && own != head)
+        self.head.is_some_and(|current| current.version == head.version && current != head)
     }
 
-    fn is_higher(&self, version: ConfigVersion) -> bool {
+    /// Returns whether `version` is above the one in force and not below the floor.
+    fn is_applicable(&self, version: ConfigVersion) -> bool {
         version > self.in_force.unwrap_or_default() && Some(version) >= self.floor
     }
 
-    fn learn_floor(&mut self, version: ConfigVersion, actions: &mut Vec<Action>) {
+    fn on_floor(&mut self, version: ConfigVersion, actions: &mut Vec<Action>) {
         self.floor = self.floor.max(Some(version));
-        // A deployment without any configuration starts from the empty one.
+        // Floor 0 means that no configuration was ever accepted: the empty one is in force.
         if self.floor == Some(ConfigVersion::default()) && self.in_force.is_none() {
             self.in_force = Some(ConfigVersion::default());
             actions.push(Action::Apply(Snapshot::default()));
         }
     }
 
-    fn fetched(
+    fn on_fetched(
         &mut self,
         now: Time,
         head: ConfigHead,
@@ -152,28 +167,32 @@
             return;
         };
         candidate.fetching = false;
-        let taken = match answer {
-            FetchAnswer::Objects(bodies) => candidate.take(&bodies, &self.objects, &self.settings),
-            FetchAnswer::Pack(pack) => candidate.take(&unpack(pack), &self.objects, &self.settings),
-            FetchAnswer::Absent if candidate.count_absent(&self.settings) => {
+        let added = match answer {
+            FetchAnswer::Objects(bodies) => {
+                candidate.add_objects(&bodies, &self.objects, &self.settings)
+            }
+            FetchAnswer::Pack(pack) => {
+                candidate.add_objects(&unpack(pack), &self.objects, &self.settings)
+            }
+            FetchAnswer::Absent if candidate.record_absent(&self.settings) => {
                 Err(RejectReason::Absent)
             }
             FetchAnswer::Absent | FetchAnswer::Failed => Ok(false),
         };
-        match taken {
+        match added {
             Ok(true) => {}
-            Ok(false) => candidate.fail(&self.settings, now),
+            Ok(false) => candidate.record_failure(&self.settings, now),
             Err(reason) => self.reject(head, reason, actions),
         }
     }
 
-    /// Puts the highest whole candidate into force and drops those that it overtakes.
-    fn advance(&mut self, actions: &mut Vec<Action>) {
+    /// Applies the highest complete candidate and drops the candidates with lower versions.
+    fn apply_complete(&mut self, actions: &mut Vec<Action>) {
         let Some(floor) = self.floor else {
             return;
         };
-        while let Some((head, whole)) = self.next_whole(floor) {
-            match whole {
+        while let Some((head, assembled)) = self.next_complete(floor) {
+            match assembled {
                 Ok((snapshot, objects)) => {
                     self.in_force = Some(head.version);
                     self.head = Some(head);
@@ -186,13 +205,16 @@
         }
     }
 
-    fn next_whole(&self, floor: ConfigVersion) -> Option<(ConfigHead, Whole)> {
+    /// Returns the highest complete candidate that isn't below `floor`.
+    fn next_complete(&self, floor: ConfigVersion) -> Option<(ConfigHead, Assembled)> {
         self.candidates
             .iter()
             .filter(|candidate| candidate.head.version >= floor)
-            .find_map(|candidate| Some((candidate.head, candidate.whole(&self.objects)?)))
+            .find_map(|candidate| Some((candidate.head, candidate.assemble(&self.objects)?)))
     }
 
+    /// Drops the candidate for `head`, reports it as rejected, and remembers it if that is
+    /// permanent.
     fn reject(&mut self, head: ConfigHead, reason: RejectReason, actions: &mut Vec<Action>) {
         self.candidates.retain(|candidate| candidate.head != head);
         if reason.is_final() {
@@ -204,7 +226,8 @@
         actions.push(Action::Reject { head, reason });
     }
 
-    fn fetch(&mut self, now: Time, actions: &mut Vec<Action>) {
+    /// Starts the fetches that are due; a candidate has at most one pending fetch.
+    fn start_fetches(&mut self, now: Time, actions: &mut Vec<Action>) {
         for candidate in &mut self.candidates {
             let mut hashes = candidate.missing(&self.objects);
             if candidate.fetching || candidate.due > now || hashes.is_empty() {
@@ -212,7 +235,7 @@
             }
             hashes.truncate(self.settings.fetch_resources);
             candidate.fetching = true;
-            let (head, source) = (candidate.head, candidate.source(&self.settings));
+            let (head, source) = (candidate.head, candidate.next_source(&self.settings));
             actions.push(Action::Fetch { head, source, hashes });
         }
     }
--- a/crates/sycamore-config/src/apply/mod.rs
+++ b/crates/sycamore-config/src/apply/mod.rs
@@ -1,4 +1,4 @@
-//! Brings a node from one configuration to the next, whole or not at all.
+//! Atomic replacement of a node's configuration: fetching, verification and application.
 
 mod candidate;
 mod machine;
@@ -12,24 +12,25 @@
 use sycamore_platform::backoff::BackoffSettings;
 use sycamore_types::prelude::*;
 
-/// Bounds of the apply machine.
+/// Limits and delays of [`Apply`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ApplySettings {
-    /// Heads followed at once; the lowest gives way.
+    /// Upper bound on heads that are fetched concurrently; the lowest versions are dropped first.
     pub candidates: usize,
-    /// Fetches from peers before each one from the object store.
+    /// Failed fetches from peers before one fetch from the object store.
     pub peer_attempts: u32,
-    /// Failures in a row that are told apart; at least `peer_attempts` + 1.
+    /// Upper bound on the consecutive failures counted for the backoff; at least
+    /// `peer_attempts` + 1.
     pub max_failures: u32,
-    /// Answers of the object store that it has no such object after which a head is rejected.
+    /// Number of [`FetchAnswer::Absent`] answers after which a head is rejected.
     pub max_absent: u32,
-    /// Resources asked for in one fetch from a peer.
+    /// Upper bound on the objects requested in one fetch.
     pub fetch_resources: usize,
-    /// Bytes of one configuration, manifest and resources together.
+    /// Upper bound on the size of a manifest with its resources, in bytes.
     pub max_bytes: usize,
-    /// Delays after failed fetches.
+    /// Delays between a failed fetch and the next one.
     pub backoff: BackoffSettings,
-    /// Decides the delays.
+    /// Seed of the random part of the delays.
     pub seed: u64,
 }
 
@@ -51,79 +52,80 @@
     }
 }
 
-/// Where objects are fetched from.
+/// Origin of configuration objects and heads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Source {
-    /// Another node; the daemon chooses which.
+    /// Another node, chosen by the caller of [`Apply`].
     Peer,
-    /// The platform's object store, which holds the whole configuration in one object.
+    /// The platform, whose object store holds each configuration as one pack.
     Store,
 }
 
-/// What a fetch brought. Nothing in it is trusted before its hash was checked.
+/// Result of a fetch. Objects are verified against their hashes before use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FetchAnswer {
-    /// Objects from a peer, as many as it had.
+    /// Requested objects that the peer had.
     Objects(Vec<Bytes>),
-    /// The configuration's object from the store.
+    /// Pack of the configuration from the object store.
     Pack(Bytes),
-    /// The store has no such object.
+    /// The object store has no object for the manifest's hash.
     Absent,
-    /// No answer in time, or a refusal.
+    /// The fetch timed out or was refused.
     Failed,
 }
 
-/// What the machine is told.
+/// Event that [`Apply`] processes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// A head was heard of.
+    /// A configuration head was learned from a peer or from the head row.
     Heard {
-        /// The head.
+        /// Version and manifest hash of the configuration.
         head: ConfigHead,
-        /// Who told: a peer, or the platform's head row, in which case few peers have it yet.
+        /// Origin of the head. A head from the platform is fetched from the object store first,
+        /// because few peers have its objects yet.
         from: Source,
-        /// Time for which the configuration may come by itself before it is fetched.
+        /// Delay before the first fetch, during which the pack may arrive unrequested.
         lead: Duration,
     },
-    /// A whole configuration came by itself, whatever is being fetched.
+    /// A complete configuration arrived without a fetch.
     Given {
-        /// Its head.
+        /// Version and manifest hash of the configuration.
         head: ConfigHead,
-        /// All of it, as the object store would hold it.
+        /// Manifest and all resources, in the object store's format.
         pack: Bytes,
     },
-    /// The version floor is known.
+    /// The version floor was determined; lower versions are never applied.
     Floor(ConfigVersion),
-    /// The answer to the one fetch under way for `head`.
+    /// The pending fetch for `head` ended.
     Fetched {
-        /// The head fetched for.
+        /// Head of the configuration that was fetched.
         head: ConfigHead,
-        /// What it brought.
+        /// Result of the fetch.
         answer: FetchAnswer,
     },
-    /// Time has passed.
+    /// The time returned by [`Apply::next_tick`] was reached.
     Tick,
 }
 
-/// What the daemon shall do.
+/// Operation that the caller of [`Apply`] has to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Fetch objects and answer with [`Input::Fetched`], once.
+    /// Fetch objects and report the result as exactly one [`Input::Fetched`].
     Fetch {
-        /// The head fetched for.
+        /// Head of the configuration to fetch.
         head: ConfigHead,
-        /// Where from.
+        /// Origin to fetch from.
         source: Source,
-        /// The objects wanted; from the store the whole configuration comes all the same.
+        /// Hashes of the missing objects; a fetch from the store returns the whole pack anyway.
         hashes: Vec<ContentHash>,
     },
-    /// Put the configuration into force, in one step.
+    /// Replace the configuration in force atomically.
     Apply(Snapshot),
-    /// Report that a head was rejected; what is in force stays.
+    /// Report a rejected head; the configuration in force stays.
     Reject {
-        /// The head.
+        /// Version and manifest hash of the rejected configuration.
         head: ConfigHead,
-        /// Why.
+        /// Reason for the rejection.
         reason: RejectReason,
     },
 }
--- a/crates/sycamore-config/src/apply/reject.rs
+++ b/crates/sycamore-config/src/apply/reject.rs
@@ -1,33 +1,34 @@
-//! Why a head is rejected.
+//! Reasons for which a node rejects a configuration.
 
 use crate::bundle::Fault;
 use std::fmt;
 use sycamore_types::prelude::*;
 
-/// Faults named in a reason at most.
-const MAX_FAULTS: usize = 8;
+/// Upper bound on the validation faults listed in a rejection's text.
+const MAX_LISTED_FAULTS: usize = 8;
 
-/// Why a head is rejected.
+/// Reason for which a node rejects a configuration head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The object under its hash is no manifest.
+    /// The object with the manifest's hash can't be decoded as a manifest.
     BadManifest,
-    /// Its manifest is that of another version.
+    /// The manifest contains this version instead of the head's.
     OtherVersion(ConfigVersion),
-    /// The same version is in force with another manifest.
+    /// The same version is already in force with a different manifest.
     Conflicting,
-    /// It is larger than the node allows; holds the bound in bytes.
+    /// The configuration is larger than this limit, in bytes.
     TooLarge(usize),
-    /// A resource can't be read, which may be one of a newer release of the node.
+    /// The resource with this hash can't be decoded, for example because a newer release of the
+    /// node encoded it.
     BadResource(ContentHash),
-    /// Its resources don't make a whole configuration.
+    /// The resources failed validation with these faults.
     Faulty(Vec<Fault>),
-    /// The object store does not have it.
+    /// The object store has no object for the manifest's hash.
     Absent,
 }
 
 impl RejectReason {
-    /// Whether the head will be as bad when it is heard of again.
+    /// Returns whether the rejection is permanent, so that the head is not fetched again.
     pub(super) fn is_final(&self) -> bool {
         !matches!(self, RejectReason::Absent)
     }
@@ -36,21 +37,23 @@
 impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RejectReason::BadManifest => f.write_str("the manifest can't be read"),
+            RejectReason::BadManifest => f.write_str("the manifest can't be decoded"),
             RejectReason::OtherVersion(version) => {
-                write!(f, "the manifest is that of version {version}")
+                write!(f, "the manifest contains version {version} instead of the head's")
             }
             RejectReason::Conflicting => {
-                f.write_str("the same version is in force with another manifest")
+                f.write_str("the same version is in force with a different manifest")
             }
-            RejectReason::TooLarge(max) => write!(f, "larger than {max} bytes"),
-            RejectReason::BadResource(hash) => write!(f, "resource {hash} can't be read"),
+            RejectReason::TooLarge(max) => {
+                write!(f, "the configuration is larger than {max} bytes")
+            }
+            RejectReason::BadResource(hash) => write!(f, "resource {hash} can't be decoded"),
             RejectReason::Faulty(faults) => {
-                let named: Vec<String> =
-                    faults.iter().take(MAX_FAULTS).map(Fault::to_string).collect();
-                write!(f, "{} faults: {}", faults.len(), named.join("; "))
+                let listed: Vec<String> =
+                    faults.iter().take(MAX_LISTED_FAULTS).map(Fault::to_string).collect();
+                write!(f, "validation found {} fault(s): {}", faults.len(), listed.join("; "))
             }
-            RejectReason::Absent => f.write_str("the object store does not have it"),
+            RejectReason::Absent => f.write_str("the object store has no object for this manifest"),
         }
     }
 }
--- a/crates/sycamore-config/src/bundle/check.rs
+++ b/crates/sycamore-config/src/bundle/check.rs
@@ -1,4 +1,4 @@
-//! Checks of resources against each other and against bounds.
+//! Validation of resources: bounds of their values, and references and duplicates among them.
 
 use super::{
     Fault, MAX_ATTEMPTS, MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_PREFIX_BYTES, MAX_QUEUE, MAX_QUEUE_MS,
@@ -7,22 +7,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use sycamore_types::prelude::*;
 
-/// Every fault of `resources`.
-pub(super) fn faults(resources: &[Resource]) -> Vec<Fault> {
-    let mut check = Check { services: service_names(resources), ..Check::default() };
+/// Returns every fault of `resources`, in their order.
+pub(super) fn validate(resources: &[Resource]) -> Vec<Fault> {
+    let mut validator = Validator { services: service_names(resources), ..Validator::default() };
     if resources.len() > MAX_RESOURCES {
-        let reason = format!("{} entries, at most {MAX_RESOURCES} are allowed", resources.len());
-        check.faults.push(Fault { place: "resources".to_owned(), reason });
+        let reason =
+            format!("has {} entries; at most {MAX_RESOURCES} are allowed", resources.len());
+        validator.faults.push(Fault { place: "resources".to_owned(), reason });
     }
     for (i, resource) in resources.iter().enumerate() {
-        check.place = format!("resources[{i}]");
+        validator.place = format!("resources[{i}]");
         match resource {
-            Resource::Service(service) => check.service(service),
-            Resource::Route(route) => check.route(route),
-            Resource::Callers(limits) => check.callers(limits),
+            Resource::Service(service) => validator.check_service(service),
+            Resource::Route(route) => validator.check_route(route),
+            Resource::Callers(limits) => validator.check_callers(limits),
         }
     }
-    check.faults
+    validator.faults
 }
 
 fn service_names(resources: &[Resource]) -> BTreeSet<&ServiceName> {
@@ -33,111 +34,126 @@
     names.collect()
 }
 
+/// Accumulates faults while it visits the resources of one configuration in order.
 #[derive(Default)]
-struct Check<'a> {
+struct Validator<'a> {
+    /// Names of all services in the configuration, which routes may refer to.
     services: BTreeSet<&'a ServiceName>,
+    /// Place of the last definition of each service visited so far.
     seen_services: BTreeMap<&'a ServiceName, String>,
     seen_routes: BTreeMap<&'a RouteName, String>,
+    /// Place of the last route of each pair of host and prefix; the host is empty for any host.
     seen_prefixes: BTreeMap<(&'a str, &'a str), String>,
     seen_callers: Option<String>,
+    /// Path of the resource being visited, such as `resources[3]`.
     place: String,
     faults: Vec<Fault>,
 }
 
-impl<'a> Check<'a> {
-    fn service(&mut self, service: &'a Service) {
+impl<'a> Validator<'a> {
+    fn check_service(&mut self, service: &'a Service) {
         if let Some(first) = self.seen_services.insert(&service.name, self.place.clone()) {
-            self.fault("name", format!("service {} is also {first}", service.name));
+            self.add_fault(
+                "name",
+                format!("service {} is already defined by {first}", service.name),
+            );
         }
-        self.limits(&service.limits);
-        self.retry(&service.retry);
+        self.check_limits(&service.limits);
+        self.check_retry(&service.retry);
     }
 
-    fn limits(&mut self, limits: &Limits) {
-        self.bound("limits.queue", limits.queue, 0, MAX_QUEUE);
+    fn check_limits(&mut self, limits: &Limits) {
+        self.check_range("limits.queue", limits.queue, 0, MAX_QUEUE);
         let queue_ms = u64::try_from(limits.queue_time.as_millis()).unwrap_or(u64::MAX);
-        self.bound("limits.queue_ms", queue_ms, 0, MAX_QUEUE_MS);
-        self.bound("limits.body_bytes", limits.body_bytes, 0, MAX_BODY_BYTES);
+        self.check_range("limits.queue_ms", queue_ms, 0, MAX_QUEUE_MS);
+        self.check_range("limits.body_bytes", limits.body_bytes, 0, MAX_BODY_BYTES);
     }
 
-    fn retry(&mut self, retry: &RetryPolicy) {
-        self.bound("retry.attempts", retry.attempts, 1, MAX_ATTEMPTS);
-        self.bound("retry.budget_percent", retry.budget_percent, 0, 100);
+    fn check_retry(&mut self, retry: &RetryPolicy) {
+        self.check_range("retry.attempts", retry.attempts, 1, MAX_ATTEMPTS);
+        self.check_range("retry.budget_percent", retry.budget_percent, 0, 100);
     }
 
-    fn route(&mut self, route: &'a Route) {
+    fn check_route(&mut self, route: &'a Route) {
         if let Some(first) = self.seen_routes.insert(&route.name, self.place.clone()) {
-            self.fault("name", format!("route {} is also {first}", route.name));
+            self.add_fault("name", format!("route {} is already defined by {first}", route.name));
         }
         if !self.services.contains(&route.service) {
-            let reason = format!("service {} is not in the configuration", route.service);
-            self.fault("service", reason);
+            let reason = format!("service {} is not defined in the configuration", route.service);
+            self.add_fault("service", reason);
         }
-        self.split(&route.split);
+        self.check_split(&route.split);
         if let Some(attempts) = route.policy.attempts {
-            self.bound("policy.attempts", attempts, 1, MAX_ATTEMPTS);
+            self.check_range("policy.attempts", attempts, 1, MAX_ATTEMPTS);
         }
         let timeout_ms = u64::try_from(route.timeout.as_millis()).unwrap_or(u64::MAX);
-        self.bound("timeout_ms", timeout_ms, 1, MAX_TIMEOUT_MS);
+        self.check_range("timeout_ms", timeout_ms, 1, MAX_TIMEOUT_MS);
         let host = route.host.as_deref().unwrap_or_default();
-        let bad_host = |c: char| !c.is_ascii_graphic() || "/?#@:".contains(c);
-        if let Some(c) = host.chars().find(|c| bad_host(*c)) {
-            self.fault("host", format!("{c:?} cannot be in a host name"));
+        let is_invalid = |c: char| !c.is_ascii_graphic() || "/?#@:".contains(c);
+        if let Some(c) = host.chars().find(|c| is_invalid(*c)) {
+            self.add_fault("host", format!("character {c:?} is not allowed in a host name"));
         }
-        self.prefix(host, &route.prefix);
+        self.check_prefix(host, &route.prefix);
     }
 
-    fn split(&mut self, split: &[WeightedService]) {
+    fn check_split(&mut self, split: &[WeightedService]) {
         for part in split {
             if !self.services.contains(&part.service) {
-                let reason = format!("service {} is not in the configuration", part.service);
-                self.fault("split", reason);
+                let reason =
+                    format!("service {} is not defined in the configuration", part.service);
+                self.add_fault("split", reason);
             }
         }
         if !split.is_empty() && split.iter().all(|part| part.weight == 0) {
-            self.fault("split", "no weight is above 0".to_owned());
+            self.add_fault("split", "at least one weight must be above 0".to_owned());
         }
     }
 
-    fn callers(&mut self, limits: &CallerLimits) {
+    fn check_callers(&mut self, limits: &CallerLimits) {
         if let Some(first) = self.seen_callers.replace(self.place.clone()) {
-            self.fault("kind", format!("limits of callers are also {first}"));
+            self.add_fault("kind", format!("caller limits are already defined by {first}"));
         }
-        self.bound("head_bytes", limits.head_bytes, 1_024, MAX_HEAD_BYTES);
-        self.bound("body_bytes", limits.body_bytes, 0, MAX_BODY_BYTES);
+        self.check_range("head_bytes", limits.head_bytes, 1_024, MAX_HEAD_BYTES);
+        self.check_range("body_bytes", limits.body_bytes, 0, MAX_BODY_BYTES);
     }
 
-    fn prefix(&mut self, host: &'a str, prefix: &'a str) {
+    fn check_prefix(&mut self, host: &'a str, prefix: &'a str) {
         if !prefix.starts_with('/') {
-            self.fault("prefix", format!("{prefix:?} does not start with '/'"));
+            self.add_fault("prefix", format!("prefix {prefix:?} must start with '/'"));
         }
         if prefix.len() > MAX_PREFIX_BYTES {
-            let reason = format!("{} bytes, at most {MAX_PREFIX_BYTES} are allowed", prefix.len());
-            self.fault("prefix", reason);
+            let reason =
+                format!("has {} bytes; at most {MAX_PREFIX_BYTES} are allowed", prefix.len());
+            self.add_fault("prefix", reason);
         }
         if let Some(c) = prefix.chars().find(|c| !c.is_ascii_graphic() || "?#".contains(*c)) {
-            self.fault("prefix", format!("{c:?} cannot be in a path"));
+            self.add_fault("prefix", format!("character {c:?} is not allowed in a path prefix"));
         }
-        // "/a" and "/a/" match the same segment, so that neither could be said to win.
-        let segment = prefix.trim_end_matches('/');
-        if let Some(first) = self.seen_prefixes.insert((host, segment), self.place.clone()) {
-            self.fault("prefix", format!("prefix {prefix} is also that of {first}"));
+        // "/a" and "/a/" match the same path segments, so neither would take precedence.
+        let segments = prefix.trim_end_matches('/');
+        if let Some(first) = self.seen_prefixes.insert((host, segments), self.place.clone()) {
+            self.add_fault("prefix", format!("prefix {prefix} is already used by {first}"));
         }
     }
 
-    fn bound<T: PartialOrd + std::fmt::Display>(
+    /// Adds a fault unless `value` is between `min` and `max`, both inclusive.
+    fn check_range<T: PartialOrd + std::fmt::Display>(
         &mut self,
         field: &str,
         value: T,
-        least: T,
-        most: T,
+        min: T,
+        max: T,
     ) {
-        if value < least || value > most {
-            self.fault(field, format!("{value} is not between {least} and {most}"));
+        if value < min || value > max {
+            self.add_fault(
+                field,
+                format!("{value} is out of range; must be between {min} and {max}"),
+            );
         }
     }
 
-    fn fault(&mut self, field: &str, reason: String) {
+    /// Adds a fault at `field` of the resource being visited.
+    fn add_fault(&mut self, field: &str, reason: String) {
         self.faults.push(Fault { place: format!("{}.{field}", self.place), reason });
     }
 }
--- a/crates/sycamore-config/src/bundle/mod.rs
+++ b/crates/sycamore-config/src/bundle/mod.rs
@@ -1,4 +1,4 @@
-//! A whole configuration as operators declare it, with checks that name every fault.
+//! Complete configuration as submitted by an operator, with validation that reports every fault.
 
 mod check;
 mod fields;
@@ -9,29 +9,29 @@
 use std::fmt;
 use sycamore_types::prelude::*;
 
-/// Resources of one configuration at most.
+/// Upper bound on the number of resources in one configuration.
 pub const MAX_RESOURCES: usize = 4_096;
-/// Longest path prefix, in bytes.
+/// Upper bound on the length of a route's path prefix, in bytes.
 pub const MAX_PREFIX_BYTES: usize = 256;
-/// Longest time that a call may take, in milliseconds.
+/// Upper bound on a route's call timeout, in milliseconds.
 pub const MAX_TIMEOUT_MS: u64 = 600_000;
-/// Longest time that a call may wait for a slot, in milliseconds.
+/// Upper bound on the time a call may wait for a free slot, in milliseconds.
 pub const MAX_QUEUE_MS: u64 = 60_000;
-/// Most calls that may wait for a slot.
+/// Upper bound on the number of calls that may wait for a free slot of a service.
 pub const MAX_QUEUE: u16 = 4_096;
-/// Largest body that may be accepted, in bytes.
+/// Upper bound on the configurable request body limit, in bytes.
 pub const MAX_BODY_BYTES: u64 = 64 << 20;
-/// Longest request head that may be accepted, in bytes.
+/// Upper bound on the configurable request head limit, in bytes.
 pub const MAX_HEAD_BYTES: u64 = 1 << 20;
-/// Most attempts of one call.
+/// Upper bound on the configurable attempts per call.
 pub const MAX_ATTEMPTS: u8 = 10;
 
-/// One thing wrong with a bundle.
+/// Validation error of one field or resource in a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Fault {
-    /// Where, such as `resources[3].prefix`.
+    /// Path of the invalid element, such as `resources[3].prefix`.
     pub place: String,
-    /// What is wrong, in a sentence.
+    /// Description of the error for the operator.
     pub reason: String,
 }
 
@@ -41,39 +41,40 @@
     }
 }
 
-/// A whole configuration that passed every check.
+/// Complete configuration that passed validation.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Bundle {
     resources: Vec<Resource>,
 }
 
 impl Bundle {
-    /// Checks `resources` together.
+    /// Validates `resources`, including references and duplicates among them.
     ///
     /// # Errors
-    /// Every fault found.
+    /// Returns every fault found.
     pub fn new(resources: Vec<Resource>) -> Result<Self, Vec<Fault>> {
-        let faults = check::faults(&resources);
+        let faults = check::validate(&resources);
         match faults.is_empty() {
             true => Ok(Self { resources }),
             false => Err(faults),
         }
     }
 
-    /// Reads and checks the resources of a JSON array.
+    /// Decodes and validates the resources of a JSON array.
     ///
     /// # Errors
-    /// Every fault found, unknown fields among them.
+    /// Returns every fault found, including unknown fields. If a resource can't be decoded, only
+    /// decoding faults are returned.
     pub fn from_json(resources: &serde_json::Value) -> Result<Self, Vec<Fault>> {
-        parse::resources(resources).and_then(Self::new)
+        parse::parse_resources(resources).and_then(Self::new)
     }
 
-    /// The resources in the order in which they were given.
+    /// Returns the resources in the order in which they were submitted.
     pub fn resources(&self) -> &[Resource] {
         &self.resources
     }
 
-    /// The configuration as nodes use it.
+    /// Converts the configuration to the form that nodes route by, longest path prefix first.
     pub fn to_snapshot(&self, version: ConfigVersion) -> Snapshot {
         let mut services = BTreeMap::new();
         let mut routes = Vec::new();
--- a/crates/sycamore-config/src/bundle/parse.rs
+++ b/crates/sycamore-config/src/bundle/parse.rs
@@ -1,11 +1,11 @@
-//! Reading resources from JSON.
+//! Decoding of resources from JSON.
 
 use super::{fields, Fault, MAX_RESOURCES};
 use serde_json::Value;
 use sycamore_types::prelude::*;
 
-/// Reads the resources of a JSON array.
-pub(super) fn resources(value: &Value) -> Result<Vec<Resource>, Vec<Fault>> {
+/// Decodes the resources of a JSON array, or returns the faults of all of them.
+pub(super) fn parse_resources(value: &Value) -> Result<Vec<Resource>, Vec<Fault>> {
     let Value::Array(items) = value else {
         return Err(vec![Fault {
             place: "resources".to_owned(),
@@ -13,13 +13,13 @@
         }]);
     };
     if items.len() > MAX_RESOURCES {
-        let reason = format!("has {} entries, at most {MAX_RESOURCES} are allowed", items.len());
+        let reason = format!("has {} entries; at most {MAX_RESOURCES} are allowed", items.len());
         return Err(vec![Fault { place: "resources".to_owned(), reason }]);
     }
     let mut faults = Vec::new();
     let mut resources = Vec::with_capacity(items.len());
     for (i, item) in items.iter().enumerate() {
-        match resource(&format!("resources[{i}]"), item) {
+        match parse_resource(&format!("resources[{i}]"), item) {
             Ok(resource) => resources.push(resource),
             Err(found) => faults.extend(found),
         }
@@ -30,8 +30,8 @@
     }
 }
 
-fn resource(place: &str, item: &Value) -> Result<Resource, Vec<Fault>> {
-    let faults = fields::faults(place, item);
+fn parse_resource(place: &str, item: &Value) -> Result<Resource, Vec<Fault>> {
+    let faults = fields::field_faults(place, item);
     if !faults.is_empty() {
         return Err(faults);
     }
--- a/crates/sycamore-config/src/diff.rs
+++ b/crates/sycamore-config/src/diff.rs
@@ -1,33 +1,35 @@
-//! What changes from one manifest to the next.
+//! Resource-level difference between two manifests.
 
 use crate::manifest::Manifest;
 use std::collections::BTreeSet;
 use sycamore_types::prelude::*;
 
-/// The difference between two manifests. A changed resource is both added and removed.
+/// Resource hashes that differ between two manifests.
+///
+/// A modified resource counts as one removed and one added hash.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Diff {
-    /// In the new manifest only.
+    /// Hashes that only the new manifest contains, ascending.
     pub added: Vec<ContentHash>,
-    /// In the old manifest only.
+    /// Hashes that only the old manifest contains, ascending.
     pub removed: Vec<ContentHash>,
-    /// In both.
+    /// Number of hashes that both manifests contain.
     pub kept: usize,
 }
 
 impl Diff {
-    /// The difference from `old` to `new`.
+    /// Computes the difference from `old` to `new`.
     pub fn between(old: &Manifest, new: &Manifest) -> Self {
-        let olds: BTreeSet<ContentHash> = old.resources.iter().copied().collect();
-        let news: BTreeSet<ContentHash> = new.resources.iter().copied().collect();
+        let old_hashes: BTreeSet<ContentHash> = old.resources.iter().copied().collect();
+        let new_hashes: BTreeSet<ContentHash> = new.resources.iter().copied().collect();
         Self {
-            added: news.difference(&olds).copied().collect(),
-            removed: olds.difference(&news).copied().collect(),
-            kept: olds.intersection(&news).count(),
+            added: new_hashes.difference(&old_hashes).copied().collect(),
+            removed: old_hashes.difference(&new_hashes).copied().collect(),
+            kept: old_hashes.intersection(&new_hashes).count(),
         }
     }
 
-    /// Whether the two hold the same resources.
+    /// Returns whether both manifests contain the same resources.
     pub fn is_empty(&self) -> bool {
         self.added.is_empty() && self.removed.is_empty()
     }
--- a/crates/sycamore-config/src/floor/mod.rs
+++ b/crates/sycamore-config/src/floor/mod.rs
@@ -1,21 +1,22 @@
-//! The version floor of a fresh node: the lowest configuration that it may serve.
+//! Version floor of a starting node: the lowest configuration version that it may serve.
 //!
-//! A restarted instance keeps nothing, so its node can't know which version it served before. The
-//! head row tells; with the platform out, the highest head of several peers in different data
-//! centres does. Without either the node does not serve.
+//! An instance persists nothing, so its node can't know which version it served before a restart.
+//! The head row gives the floor. During a platform outage, the highest head among several peers in
+//! different data centres is used instead. With neither, the node doesn't serve.
 
 use std::collections::{BTreeMap, BTreeSet};
 use sycamore_types::prelude::*;
 
-/// Peers remembered at most; beyond them nobody new is in a further data centre.
-const MAX_TOLD: usize = 256;
+/// Upper bound on the number of peers whose heads are kept. Further reports are ignored: after this
+/// many, no peer in another data centre is expected.
+const MAX_PEER_HEADS: usize = 256;
 
-/// How many peers stand in for the head row.
+/// Quorum of peers whose heads replace an unreadable head row.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct FloorSettings {
-    /// Peers that must have told the head in force.
+    /// Number of peers that must have reported a head.
     pub peers: usize,
-    /// Data centres that those peers must be in.
+    /// Number of distinct data centres that those peers must be in.
     pub data_centres: usize,
 }
 
@@ -25,61 +26,66 @@
     }
 }
 
-/// The highest head that a serving peer, which has a floor itself, has seen.
+/// Highest configuration head seen by a peer that serves and knows its own floor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerHead<'a> {
-    /// The peer.
+    /// Instance that reported the head.
     pub instance: &'a InstanceId,
-    /// Its data centre.
+    /// Data centre of the reporting instance.
     pub data_centre: &'a DataCentre,
-    /// The highest head that it has seen.
+    /// Highest configuration head that the instance has seen.
     pub head: ConfigHead,
 }
 
-/// Finds the floor of a fresh node.
+/// Determines the version floor of a starting node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Floor {
     settings: FloorSettings,
-    told: BTreeMap<InstanceId, (DataCentre, ConfigVersion)>,
+    peer_heads: BTreeMap<InstanceId, (DataCentre, ConfigVersion)>,
     known: Option<ConfigVersion>,
 }
 
 impl Floor {
-    /// A floor that is not known yet.
+    /// Creates a floor that is not known yet.
     pub fn new(settings: FloorSettings) -> Self {
-        Self { settings, told: BTreeMap::new(), known: None }
+        Self { settings, peer_heads: BTreeMap::new(), known: None }
     }
 
-    /// The floor; `None` while the node may not serve.
+    /// Returns the version floor; `None` while it is unknown and the node may not serve.
     pub fn known(&self) -> Option<ConfigVersion> {
         self.known
     }
 
-    /// The head row was read; `None` where there is none.
+    /// Sets the floor from the head row, unless it is already known, and returns it.
+    ///
+    /// `head` is `None` if the row doesn't exist, which gives version 0.
     pub fn read(&mut self, head: Option<ConfigHead>) -> Option<ConfigVersion> {
-        self.settle(head.map_or(ConfigVersion::default(), |head| head.version))
+        self.set(head.map_or(ConfigVersion::default(), |head| head.version))
     }
 
-    /// A peer told the highest head that it has seen.
+    /// Records a peer's head and returns the floor once enough peers have reported.
     pub fn told(&mut self, peer: PeerHead<'_>) -> Option<ConfigVersion> {
-        if self.known.is_some() || self.told.len() >= MAX_TOLD {
+        if self.known.is_some() || self.peer_heads.len() >= MAX_PEER_HEADS {
             return self.known;
         }
-        let told = (peer.data_centre.clone(), peer.head.version);
-        self.told.insert(peer.instance.clone(), told);
-        let data_centres: BTreeSet<&DataCentre> = self.told.values().map(|(dc, _)| dc).collect();
-        let enough = self.told.len() >= self.settings.peers
+        let reported = (peer.data_centre.clone(), peer.head.version);
+        self.peer_heads.insert(peer.instance.clone(), reported);
+        let data_centres: BTreeSet<&DataCentre> =
+            self.peer_heads.values().map(|(dc, _)| dc).collect();
+        let is_quorum = self.peer_heads.len() >= self.settings.peers
             && data_centres.len() >= self.settings.data_centres;
-        let highest = self.told.values().map(|(_, version)| *version).max().unwrap_or_default();
-        match enough {
-            true => self.settle(highest),
+        let highest =
+            self.peer_heads.values().map(|(_, version)| *version).max().unwrap_or_default();
+        match is_quorum {
+            true => self.set(highest),
             false => None,
         }
     }
 
-    fn settle(&mut self, version: ConfigVersion) -> Option<ConfigVersion> {
+    /// Sets the floor unless it is already known, and returns it.
+    fn set(&mut self, version: ConfigVersion) -> Option<ConfigVersion> {
         self.known.get_or_insert(version);
-        self.told.clear();
+        self.peer_heads.clear();
         self.known
     }
 }
--- a/crates/sycamore-config/src/follow.rs
+++ b/crates/sycamore-config/src/follow.rs
@@ -1,20 +1,21 @@
-//! Following the platform's rows.
+//! Choice between reading the platform's change feed and listing its rows.
 
 use sycamore_types::prelude::*;
 
-/// Where the next look at the rows starts.
+/// Next read of the platform's operator rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// At the changes after the last one that was told.
+    /// Reads the changes after the last one received.
     Changes,
-    /// At the rows as they are now.
+    /// Lists the current rows, which skips intermediate versions.
     Rows,
 }
 
-/// Where to look after the rows told of `taken` last, while peers tell of `known`.
+/// Chooses the next read of a node that last took version `taken` while its peers announce `known`.
 ///
-/// Changes are told one by one, each with its whole configuration. In a storm a node on a slow link
-/// falls behind by all of them; the rows hold the newest alone.
+/// The change feed delivers every version in turn, each with its whole configuration, so a node on
+/// a slow link falls behind when many versions are written in quick succession. A listing holds
+/// only the newest version.
 pub fn next(taken: ConfigVersion, known: Option<ConfigVersion>) -> Next {
     match known {
         Some(known) if known > taken => Next::Rows,
--- a/crates/sycamore-config/src/lib.rs
+++ b/crates/sycamore-config/src/lib.rs
@@ -1,8 +1,9 @@
-//! Configuration: manifests of hashed resources, their checks and the apply machine.
+//! Mesh configuration: validation, content-addressed manifests, and atomic application on a node.
 //!
-//! An operator's [`Bundle`] is checked whole and becomes a [`Manifest`] of content hashes.
-//! [`Apply`] brings a node from one manifest to the next in one step, [`Floor`] says from when on a
-//! fresh node may serve, and [`PollSettings`] when to look for a new head.
+//! A [`Bundle`] is an operator's configuration, validated as a whole and encoded as a [`Manifest`]
+//! of content hashes. [`Apply`] is the state machine that fetches a manifest's resources and
+//! replaces the configuration in force atomically. [`Floor`] determines the lowest version that a
+//! starting node may serve, and [`PollSettings`] the interval between reads of the head row.
 
 pub mod apply;
 pub mod bundle;
--- a/crates/sycamore-config/src/manifest.rs
+++ b/crates/sycamore-config/src/manifest.rs
@@ -1,30 +1,33 @@
-//! Manifests: the content hashes of one configuration's resources.
+//! Manifests, which list the content hashes of a configuration's resources, and packs, which hold
+//! a manifest with all its resources.
 //!
-//! A manifest is a protobuf message, 34 bytes a resource, so that a change costs a node the
-//! manifest and the resources it lacks. The object store holds, under the manifest's hash, one
-//! object with the manifest and all resources: a change is one put, a fresh node's start one get.
+//! A manifest is a protobuf message with 34 bytes per resource. On a configuration change a node
+//! fetches the manifest and only the resources that it lacks. The object store holds one pack per
+//! configuration, keyed by the manifest's hash, so that accepting a configuration takes one put and
+//! starting a node one get.
 
 use crate::bundle::MAX_RESOURCES;
 use bytes::Bytes;
 use prost::Message;
 use sycamore_types::prelude::*;
 
-/// Largest manifest, in bytes.
+/// Upper bound on the size of an encoded manifest, in bytes.
 pub const MAX_MANIFEST_BYTES: usize = 160 << 10;
-/// Largest encoded resource, in bytes.
+/// Upper bound on the size of an encoded resource, in bytes.
 pub const MAX_RESOURCE_BYTES: usize = 16 << 10;
-/// Largest object that holds a whole configuration, in bytes.
+/// Upper bound on the size of a pack, in bytes.
 pub const MAX_PACK_BYTES: usize = 4 << 20;
 
-/// The content hashes of one configuration's resources.
+/// Version of a configuration and the content hashes of its resources.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Manifest {
-    /// The configuration's number.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// Hashes of the encoded resources, ascending.
+    /// Content hashes of the encoded resources, ascending.
     pub resources: Vec<ContentHash>,
 }
 
+/// Protobuf encoding of a [`Manifest`].
 #[derive(Clone, PartialEq, Message)]
 struct WireManifest {
     #[prost(uint64, tag = "1")]
@@ -33,6 +36,7 @@
     resources: Vec<Vec<u8>>,
 }
 
+/// Protobuf encoding of a pack.
 #[derive(Clone, PartialEq, Message)]
 struct WirePack {
     #[prost(bytes = "bytes", tag = "1")]
@@ -42,7 +46,8 @@
 }
 
 impl Manifest {
-    /// Reads a manifest; `None` where the bytes are none or break a bound.
+    /// Decodes a manifest; `None` if the bytes are malformed, the hashes are not sorted, or a size
+    /// bound is exceeded.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         if bytes.len() > MAX_MANIFEST_BYTES {
             return None;
@@ -62,20 +67,21 @@
     }
 }
 
-/// A configuration with all of its bytes.
+/// Encoded configuration: the manifest and all resources.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Encoded {
-    /// Names the configuration.
+    /// Version and manifest hash of the configuration.
     pub head: ConfigHead,
-    /// The encoded manifest.
+    /// Encoded manifest.
     pub manifest: Bytes,
-    /// The encoded resources, in the order of their hashes.
+    /// Encoded resources, in ascending order of their content hashes.
     pub resources: Vec<Bytes>,
 }
 
 impl Encoded {
-    /// Encodes `resources` as configuration `version`; the order in which they are given does not
-    /// change a byte.
+    /// Encodes `resources` as configuration `version`.
+    ///
+    /// The result doesn't depend on the order of `resources`.
     pub fn new(resources: &[Resource], version: ConfigVersion) -> Self {
         let mut resources: Vec<(ContentHash, Bytes)> =
             resources.iter().map(encode_resource).collect();
@@ -86,14 +92,16 @@
         Self { head, manifest, resources: resources.into_iter().map(|(_, body)| body).collect() }
     }
 
-    /// The object that holds it all.
+    /// Encodes the pack that is stored as the configuration's object.
     pub fn pack(&self) -> Bytes {
         let (manifest, resources) = (self.manifest.clone(), self.resources.clone());
         WirePack { manifest, resources }.encode_to_vec().into()
     }
 }
 
-/// The manifest and resources in a pack, unverified; empty where the bytes are no pack.
+/// Decodes a pack into the manifest and the resources, without checking their hashes.
+///
+/// The result is empty if the bytes are malformed or exceed [`MAX_PACK_BYTES`].
 pub fn unpack(pack: Bytes) -> Vec<Bytes> {
     if pack.len() > MAX_PACK_BYTES {
         return Vec::new();
@@ -104,17 +112,18 @@
     }
 }
 
-/// The key of the object that holds the configuration with this manifest hash.
+/// Returns the object store key of the configuration with the given manifest hash.
 pub fn object_key(manifest: ContentHash) -> String {
     format!("config/{manifest}")
 }
 
+/// Encodes a resource as JSON and hashes it.
 fn encode_resource(resource: &Resource) -> (ContentHash, Bytes) {
     let body = serde_json::to_vec(resource).expect("resources serialise");
     (ContentHash::of(&body), body.into())
 }
 
-/// Reads an encoded resource.
+/// Decodes a resource; `None` if the bytes are malformed or of an unknown format.
 pub(crate) fn decode_resource(body: &[u8]) -> Option<Resource> {
     serde_json::from_slice(body).ok()
 }
--- a/crates/sycamore-config/tests/apply_model.rs
+++ b/crates/sycamore-config/tests/apply_model.rs
@@ -1,8 +1,10 @@
-//! Exhaustive model of applying. One node runs the real [`Apply`] and [`Floor`]; everything around
-//! it does whatever it may: the node hears of any accepted head at any moment, in any order and any
-//! number of times; peers offer any of the objects that were ever accepted, or some of them;
-//! answers are lost; the node restarts with empty memory. An outage of the platform needs no state
-//! of its own: it is a run in which every fetch from it is lost and the head row is not read.
+//! Exhaustive model of applying configurations. One node runs the real [`Apply`] and [`Floor`]; the
+//! environment is nondeterministic.
+//!
+//! The node learns any accepted head at any time, in any order and any number of times. Peers offer
+//! all or one of the requested objects. Answers are lost, and the node restarts with empty memory.
+//! A platform outage needs no state of its own: it is a run in which every fetch from the platform
+//! fails and the head row is not read.
 
 mod common;
 
@@ -19,66 +21,70 @@
 use sycamore_platform::backoff::BackoffSettings;
 use sycamore_types::prelude::*;
 
-/// What the node does wrong on purpose.
+/// Deliberate fault of the node, which the model must detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// Starts over when it hears of a lower head than the one in force.
-    TakesLower,
-    /// Puts into force what it has of a manifest.
-    TakesPart,
-    /// Serves without a floor after a restart.
+    /// Resets the state machine when it learns a head lower than the one in force.
+    AppliesLower,
+    /// Applies the first resource of a manifest alone.
+    AppliesPartially,
+    /// Serves without a version floor after a restart.
     NoFloor,
-    /// Applies a configuration without checking it as a whole.
-    NoCheck,
+    /// Applies a configuration without validating it.
+    NoValidation,
 }
 
+/// State of the modelled node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Node {
     apply: Apply,
     floor: Floor,
-    /// Fetches under way.
+    /// Pending fetches.
     fetches: Vec<(ConfigHead, Source, Vec<ContentHash>)>,
-    /// The version that the instance served last, over restarts.
+    /// Version that the instance served last, kept across restarts.
     served: u64,
-    /// The lowest version that the node's floor allows.
-    least: u64,
+    /// Lowest version that the node's floor allows.
+    min_version: u64,
 }
 
 #[derive(Debug, Clone, Eq)]
 struct State {
-    /// Configurations accepted so far.
+    /// Number of configurations accepted so far.
     accepted: usize,
     crashes: usize,
     node: Node,
-    broken: Option<String>,
+    /// First violated property.
+    violation: Option<String>,
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
         (self.accepted, self.crashes) == (other.accepted, other.crashes)
             && self.node == other.node
-            && self.broken == other.broken
+            && self.violation == other.violation
     }
 }
 
 impl Hash for State {
-    /// Leaves out the bytes of objects, which are slow to hash; equality compares all.
+    /// Omits the bytes of objects, which are slow to hash; equality compares everything.
     fn hash<H: Hasher>(&self, state: &mut H) {
         let node = &self.node;
-        (self.accepted, self.crashes, node.served, node.least).hash(state);
+        (self.accepted, self.crashes, node.served, node.min_version).hash(state);
         (node.apply.in_force(), node.apply.highest(), node.floor.known()).hash(state);
         node.fetches.hash(state);
     }
 }
 
-struct Spread {
+/// Model of one node and its environment.
+struct ApplyModel {
     crashes: usize,
     mutant: Mutant,
     configs: Arc<Vec<(Encoded, Vec<Resource>)>>,
 }
 
-/// Version 2 has a dangling route, as a release of the daemon with weaker checks could accept it.
+/// Returns three configurations. Version 2 has a dangling route, as a release of the daemon with
+/// weaker validation could accept it.
 fn configs() -> Vec<(Encoded, Vec<Resource>)> {
     let sets = [
         vec![service("counter"), route("tickets", "counter", 100)],
@@ -89,7 +95,8 @@
     numbered.map(|(set, v)| (Encoded::new(&set, ConfigVersion(v)), set)).collect()
 }
 
-fn fresh() -> Node {
+/// Returns a node that has just started.
+fn new_node() -> Node {
     let backoff = BackoffSettings { base: Duration::ZERO, cap: Duration::ZERO };
     let settings = ApplySettings {
         candidates: 2,
@@ -104,95 +111,102 @@
         floor: Floor::new(FloorSettings { peers: 1, data_centres: 1 }),
         fetches: Vec::new(),
         served: 0,
-        least: 0,
+        min_version: 0,
     }
 }
 
-impl Spread {
+impl ApplyModel {
     fn step(&self, state: &mut State, input: Input) {
-        let heard = match &input {
+        let learned = match &input {
             Input::Heard { head, .. } => Some(*head),
             _ => None,
         };
         let node = &mut state.node;
-        let lower = heard.is_some_and(|head| Some(head.version) < node.apply.in_force());
-        if self.mutant == Mutant::TakesLower && lower {
-            node.apply = fresh().apply;
+        let is_lower = learned.is_some_and(|head| Some(head.version) < node.apply.in_force());
+        if self.mutant == Mutant::AppliesLower && is_lower {
+            node.apply = new_node().apply;
             node.apply.step(Time::default(), Input::Floor(ConfigVersion(1)));
         }
         let actions = node.apply.step(Time::default(), input);
         for action in actions {
-            self.act(state, action);
+            self.perform(state, action);
         }
     }
 
-    fn act(&self, state: &mut State, action: Action) {
+    fn perform(&self, state: &mut State, action: Action) {
         match action {
             Action::Fetch { head, source, hashes } => {
                 state.node.fetches.push((head, source, hashes));
             }
-            Action::Apply(snapshot) => self.publish(state, &snapshot),
+            Action::Apply(snapshot) => self.apply(state, &snapshot),
             Action::Reject { head, .. } => {
-                if self.mutant == Mutant::NoCheck {
+                if self.mutant == Mutant::NoValidation {
                     let (_, resources) = &self.configs[head.version.0 as usize - 1];
-                    self.publish(state, &unchecked(resources, head.version));
+                    self.apply(state, &unvalidated(resources, head.version));
                 }
             }
         }
     }
 
-    fn publish(&self, state: &mut State, snapshot: &Snapshot) {
+    /// Puts `snapshot` into force and checks it against the model's properties.
+    fn apply(&self, state: &mut State, snapshot: &Snapshot) {
         let version = snapshot.version.0;
         let node = &mut state.node;
-        if version < node.served.max(node.least) {
-            let before = node.served.max(node.least);
-            state.broken = Some(format!("the node goes back from version {before} to {version}"));
+        if version < node.served.max(node.min_version) {
+            let previous = node.served.max(node.min_version);
+            state.violation = Some(format!("version {version} is applied below version {previous}, which was served before or is the floor"));
         }
         node.served = version;
         if let Some(route) =
             snapshot.routes.iter().find(|r| !snapshot.services.contains_key(&r.service))
         {
-            state.broken = Some(format!("the node has the dangling route {}", route.name));
+            state.violation = Some(format!("dangling route {} is in force", route.name));
         }
-        let whole = match version.checked_sub(1) {
+        let expected = match version.checked_sub(1) {
             None => Snapshot::default(),
-            Some(at) => unchecked(&self.configs[at as usize].1, ConfigVersion(version)),
+            Some(at) => unvalidated(&self.configs[at as usize].1, ConfigVersion(version)),
         };
-        if *snapshot != whole {
-            state.broken = Some(format!("the node has version {version} in part"));
+        if *snapshot != expected {
+            state.violation = Some(format!("version {version} is partially in force"));
         }
     }
 
-    /// The floor became known.
-    fn learn(&self, state: &mut State, floor: ConfigVersion) {
-        state.node.least = floor.0;
+    /// Passes the determined floor to the state machine.
+    fn set_floor(&self, state: &mut State, floor: ConfigVersion) {
+        state.node.min_version = floor.0;
         self.step(state, Input::Floor(floor));
     }
 
-    fn answers(&self, state: &State, moves: &mut Vec<(String, State)>) {
+    /// Adds the possible results of every pending fetch.
+    fn fetch_results(&self, state: &State, transitions: &mut Vec<(String, State)>) {
         for (at, (head, source, hashes)) in state.node.fetches.iter().enumerate() {
-            let mut offers = vec![("is lost".to_owned(), FetchAnswer::Failed)];
+            let mut offers = vec![("fails".to_owned(), FetchAnswer::Failed)];
             match source {
                 Source::Store => {
                     let pack = self.configs[head.version.0 as usize - 1].0.pack();
-                    offers.push(("comes from the store".to_owned(), FetchAnswer::Pack(pack)));
+                    offers.push((
+                        "returns the pack from the store".to_owned(),
+                        FetchAnswer::Pack(pack),
+                    ));
                 }
                 Source::Peer => offers.extend(self.peer_offers(state, hashes)),
             }
             for (text, answer) in offers {
                 let mut next = state.clone();
                 next.node.fetches.remove(at);
-                if let (Mutant::TakesPart, FetchAnswer::Objects(_)) = (self.mutant, &answer) {
+                if let (Mutant::AppliesPartially, FetchAnswer::Objects(_)) = (self.mutant, &answer)
+                {
                     let (_, resources) = &self.configs[head.version.0 as usize - 1];
-                    self.publish(&mut next, &unchecked(&resources[..1], head.version));
+                    self.apply(&mut next, &unvalidated(&resources[..1], head.version));
                 }
                 self.step(&mut next, Input::Fetched { head: *head, answer });
-                moves.push((format!("the fetch of version {} {text}", head.version), next));
+                transitions.push((format!("the fetch of version {} {text}", head.version), next));
             }
         }
     }
 
-    /// Some peer holds every accepted configuration; it may send one object or all.
+    /// Returns the answers of a peer that holds every accepted configuration: one of the requested
+    /// objects or all of them.
     fn peer_offers(&self, state: &State, hashes: &[ContentHash]) -> Vec<(String, FetchAnswer)> {
         let configs = &self.configs[..state.accepted];
         let bodies = configs
@@ -203,55 +217,59 @@
         let mut offers = Vec::new();
         for body in &held {
             let one = FetchAnswer::Objects(vec![body.clone()]);
-            offers.push(("brings one object of a peer".to_owned(), one));
+            offers.push(("returns one object from a peer".to_owned(), one));
         }
         if held.len() > 1 {
-            offers.push(("brings all from a peer".to_owned(), FetchAnswer::Objects(held)));
+            offers.push(("returns all objects from a peer".to_owned(), FetchAnswer::Objects(held)));
         }
         offers
     }
 
-    fn hears(&self, state: &State, moves: &mut Vec<(String, State)>) {
-        // Whatever was ever sent may arrive now: loss, duplicates and reordering at once.
+    /// Adds the announcement of every accepted head. Any of them may arrive at any time, which
+    /// models loss, duplication and reordering at once.
+    fn announcements(&self, state: &State, transitions: &mut Vec<(String, State)>) {
         for (encoded, _) in &self.configs[..state.accepted] {
             let mut next = state.clone();
             self.step(
                 &mut next,
                 Input::Heard { head: encoded.head, from: Source::Peer, lead: Duration::ZERO },
             );
-            moves.push((format!("the node hears of version {}", encoded.head.version), next));
+            transitions
+                .push((format!("the node learns of version {}", encoded.head.version), next));
         }
     }
 
-    fn floors(&self, state: &State, moves: &mut Vec<(String, State)>) {
+    /// Adds the ways to determine the version floor: the head row, or the head of one peer.
+    fn floor_sources(&self, state: &State, transitions: &mut Vec<(String, State)>) {
         if state.node.floor.known().is_some() {
             return;
         }
         let head = state.accepted.checked_sub(1).map(|at| self.configs[at].0.head);
         let mut next = state.clone();
         if let Some(floor) = next.node.floor.read(head) {
-            self.learn(&mut next, floor);
+            self.set_floor(&mut next, floor);
         }
-        moves.push(("the node reads the head row".to_owned(), next));
+        transitions.push(("the node reads the head row".to_owned(), next));
         for (encoded, _) in &self.configs[..state.accepted] {
             let head = encoded.head;
             let mut next = state.clone();
             let (instance, data_centre) = (instance(), data_centre());
             let peer_head = PeerHead { instance: &instance, data_centre: &data_centre, head };
             if let Some(floor) = next.node.floor.told(peer_head) {
-                // A peer proves no more than its own version: what the instance served before is
-                // left out of the check here; the design page weighs how likely it was higher.
+                // A peer proves no more than its own version, so the check ignores the version that
+                // the instance served before. The design page estimates how often it was higher.
                 next.node.served = 0;
-                self.learn(&mut next, floor);
+                self.set_floor(&mut next, floor);
             }
-            moves.push((format!("a peer tells version {} as its head", head.version), next));
+            transitions
+                .push((format!("a peer reports version {} as its head", head.version), next));
         }
     }
 
     fn crash(&self, state: &State) -> (String, State) {
         let mut next = state.clone();
         next.crashes += 1;
-        next.node = Node { served: state.node.served, ..fresh() };
+        next.node = Node { served: state.node.served, ..new_node() };
         if self.mutant == Mutant::NoFloor {
             self.step(&mut next, Input::Floor(ConfigVersion(1)));
         }
@@ -267,7 +285,8 @@
     DataCentre::new("split").expect("constant identifier")
 }
 
-fn unchecked(resources: &[Resource], version: ConfigVersion) -> Snapshot {
+/// Builds a snapshot without validation.
+fn unvalidated(resources: &[Resource], version: ConfigVersion) -> Snapshot {
     let mut snapshot = Snapshot { version, ..Snapshot::default() };
     for resource in resources {
         match resource.clone() {
@@ -281,53 +300,58 @@
     snapshot
 }
 
-impl Model for Spread {
+impl Model for ApplyModel {
     type State = State;
     type Action = String;
 
     fn starts(&self) -> Vec<State> {
-        vec![State { accepted: 0, crashes: 0, node: fresh(), broken: None }]
+        vec![State { accepted: 0, crashes: 0, node: new_node(), violation: None }]
     }
 
     fn next(&self, state: &State) -> Vec<(String, State)> {
-        if state.broken.is_some() {
+        if state.violation.is_some() {
             return Vec::new();
         }
-        let mut moves = Vec::new();
+        let mut transitions = Vec::new();
         if state.accepted < self.configs.len() {
             let next = State { accepted: state.accepted + 1, ..state.clone() };
-            moves.push((format!("version {} is accepted", next.accepted), next));
+            transitions.push((format!("version {} is accepted", next.accepted), next));
         }
-        self.hears(state, &mut moves);
-        self.floors(state, &mut moves);
-        self.answers(state, &mut moves);
+        self.announcements(state, &mut transitions);
+        self.floor_sources(state, &mut transitions);
+        self.fetch_results(state, &mut transitions);
         if state.crashes < self.crashes {
-            moves.push(self.crash(state));
+            transitions.push(self.crash(state));
         }
-        moves
+        transitions
     }
 
     fn check(&self, state: &State) -> Result<(), String> {
-        state.broken.clone().map_or(Ok(()), Err)
+        state.violation.clone().map_or(Ok(()), Err)
     }
 }
 
 fn run(crashes: usize, mutant: Mutant) -> Outcome {
-    let model = Spread { crashes, mutant, configs: Arc::new(configs()) };
+    let model = ApplyModel { crashes, mutant, configs: Arc::new(configs()) };
     let outcome = explore(&model, &Options { max_states: 400_000 });
     println!("applying, {crashes} restarts, {mutant:?}: {outcome}");
     outcome
 }
 
+/// Guards against a node that applies an older, invalid or incomplete configuration under any order
+/// of announcements, fetch results and one restart.
 #[test]
-fn nothing_goes_back_dangles_or_is_applied_in_part() {
+fn applied_configurations_are_never_older_dangling_or_partial() {
     let outcome = run(1, Mutant::None);
     assert!(matches!(outcome, Outcome::Holds { .. }), "{outcome}");
 }
 
+/// Guards against a model that is too weak: each deliberate fault must violate a property.
 #[test]
-fn mutants_are_caught() {
-    for mutant in [Mutant::TakesLower, Mutant::TakesPart, Mutant::NoFloor, Mutant::NoCheck] {
+fn every_mutant_is_detected() {
+    for mutant in
+        [Mutant::AppliesLower, Mutant::AppliesPartially, Mutant::NoFloor, Mutant::NoValidation]
+    {
         assert!(matches!(run(1, mutant), Outcome::Broken { .. }), "{mutant:?}");
     }
 }
--- a/crates/sycamore-config/tests/bundle.rs
+++ b/crates/sycamore-config/tests/bundle.rs
@@ -1,4 +1,4 @@
-//! Checks name every fault; encoding is deterministic.
+//! Validation of bundles, and encoding of manifests and packs.
 
 mod common;
 
@@ -9,13 +9,15 @@
 use sycamore_config::{Bundle, Diff, Encoded, Manifest};
 use sycamore_types::prelude::*;
 
+/// Returns the texts of all faults of an invalid bundle.
 fn faults(resources: serde_json::Value) -> Vec<String> {
     let faults = Bundle::from_json(&resources).expect_err("faulty");
     faults.iter().map(ToString::to_string).collect()
 }
 
+/// Guards against validation that stops at the first invalid field or resource.
 #[test]
-fn every_fault_of_the_fields_is_named() {
+fn all_invalid_fields_are_reported() {
     let found = faults(json!([
         {"kind": "service", "name": "counter", "limits": {"queue": 70000, "depth": 1}},
         {"kind": "service", "name": "no spaces", "retry": {"attempts": "three"}},
@@ -40,8 +42,9 @@
     );
 }
 
+/// Guards against validation that stops at the first duplicate, dangling or out-of-range value.
 #[test]
-fn every_fault_across_resources_is_named() {
+fn all_faults_between_resources_are_reported() {
     let found = faults(json!([
         {"kind": "service", "name": "counter", "limits": {"queue_ms": 60001}},
         {"kind": "service", "name": "counter", "retry": {"attempts": 0}},
@@ -52,21 +55,22 @@
     assert_eq!(
         found,
         [
-            "resources[0].limits.queue_ms: 60001 is not between 0 and 60000",
-            "resources[1].name: service counter is also resources[0]",
-            "resources[1].retry.attempts: 0 is not between 1 and 10",
-            "resources[2].service: service bench is not in the configuration",
-            "resources[2].timeout_ms: 0 is not between 1 and 600000",
-            "resources[3].name: route a is also resources[2]",
-            "resources[3].prefix: prefix /a/ is also that of resources[2]",
-            "resources[4].prefix: \"b?\" does not start with '/'",
-            "resources[4].prefix: '?' cannot be in a path",
+            "resources[0].limits.queue_ms: 60001 is out of range; must be between 0 and 60000",
+            "resources[1].name: service counter is already defined by resources[0]",
+            "resources[1].retry.attempts: 0 is out of range; must be between 1 and 10",
+            "resources[2].service: service bench is not defined in the configuration",
+            "resources[2].timeout_ms: 0 is out of range; must be between 1 and 600000",
+            "resources[3].name: route a is already defined by resources[2]",
+            "resources[3].prefix: prefix /a/ is already used by resources[2]",
+            "resources[4].prefix: prefix \"b?\" must start with '/'",
+            "resources[4].prefix: character '?' is not allowed in a path prefix",
         ]
     );
 }
 
+/// Guards against equal configurations with different manifest hashes.
 #[test]
-fn the_order_of_resources_changes_no_byte() {
+fn encoding_is_independent_of_resource_order() {
     let one = [service("counter"), route("tickets", "counter", 10)];
     let two = [route("tickets", "counter", 10), service("counter")];
     let version = ConfigVersion(3);
@@ -74,8 +78,9 @@
     assert_ne!(Encoded::new(&one, version).head, Encoded::new(&one, version.next()).head);
 }
 
+/// Guards against refetching unchanged resources after a change.
 #[test]
-fn a_change_differs_in_its_resource_only() {
+fn a_changed_resource_alone_differs_between_manifests() {
     let old = [service("counter"), route("tickets", "counter", 10)];
     let new = [service("counter"), route("tickets", "counter", 20)];
     let manifest = |resources: &[Resource], version| {
@@ -87,8 +92,9 @@
     assert!(Diff::between(&manifest(&old, 1), &manifest(&old, 2)).is_empty());
 }
 
+/// Guards against a short prefix that shadows a longer one listed after it.
 #[test]
-fn the_longest_prefix_comes_first() {
+fn the_longest_matching_prefix_is_routed() {
     let bundle = Bundle::from_json(&json!([
         {"kind": "service", "name": "counter"},
         {"kind": "route", "name": "all", "prefix": "/", "service": "counter", "timeout_ms": 10},
@@ -101,19 +107,21 @@
 }
 
 quickcheck! {
-    fn a_pack_gives_back_what_went_in(timeouts: Vec<u16>) -> TestResult {
+    /// Guards against objects that are lost or reordered by packing.
+    fn packing_and_unpacking_preserves_all_objects(timeouts: Vec<u16>) -> TestResult {
         let mut resources = vec![service("counter")];
         let routes = timeouts.iter().enumerate();
         resources.extend(routes.map(|(i, ms)| route(&format!("r{i}"), "counter", u64::from(*ms) + 1)));
         let encoded = Encoded::new(&resources, ConfigVersion(9));
         let parts = unpack(encoded.pack());
-        let whole = parts[0] == encoded.manifest && parts[1..] == encoded.resources[..];
+        let unchanged = parts[0] == encoded.manifest && parts[1..] == encoded.resources[..];
         let manifest = Manifest::decode(&encoded.manifest).unwrap();
         let hashes: Vec<ContentHash> = encoded.resources.iter().map(|b| ContentHash::of(b)).collect();
-        TestResult::from_bool(whole && manifest.resources == hashes && manifest.version == ConfigVersion(9))
+        TestResult::from_bool(unchanged && manifest.resources == hashes && manifest.version == ConfigVersion(9))
     }
 
-    fn garbage_is_no_manifest_and_does_not_panic(bytes: Vec<u8>) -> bool {
+    /// Guards against panics on malformed input, and against manifests with unsorted hashes.
+    fn decoding_malformed_bytes_does_not_panic(bytes: Vec<u8>) -> bool {
         let _ = unpack(bytes.clone().into());
         Manifest::decode(&bytes).is_none_or(|manifest| manifest.resources.is_sorted())
     }
--- a/crates/sycamore-config/tests/common/mod.rs
+++ b/crates/sycamore-config/tests/common/mod.rs
@@ -1,15 +1,15 @@
-//! Configurations that the tests share.
+//! Constructors of resources shared by the tests.
 
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// A service with default limits.
+/// Creates a service with default limits.
 pub fn service(name: &str) -> Resource {
     let name = ServiceName::new(name).expect("constant identifier");
     Resource::Service(Service { name, limits: Limits::default(), retry: RetryPolicy::default() })
 }
 
-/// A route from `/NAME` to `service`.
+/// Creates a route from the path prefix `/{name}` to `service`.
 pub fn route(name: &str, service: &str, timeout_ms: u64) -> Resource {
     Resource::Route(Route {
         name: RouteName::new(name).expect("constant identifier"),
--- a/crates/sycamore-config/tests/follow.rs
+++ b/crates/sycamore-config/tests/follow.rs
@@ -1,48 +1,53 @@
-//! Following the platform's rows on a slow link.
+//! Choice between the change feed and a listing for a node on a slow link.
 
 use sycamore_config::follow::{next, Next};
 use sycamore_types::prelude::*;
 
-/// Versions that an operator writes in a storm, one each [`EVERY_MS`].
+/// Number of versions that an operator writes, one every [`WRITE_INTERVAL_MS`].
 const VERSIONS: u64 = 20;
-const EVERY_MS: u64 = 600;
-/// Time that one configuration takes over the link: half a megabyte at 4 Mbit/s.
-const TAKES_MS: u64 = 1_000;
-/// Time from a version's acknowledgement to in force that the users allow.
-const ALLOWED_MS: u64 = 2_500;
+const WRITE_INTERVAL_MS: u64 = 600;
+/// Transfer time of one configuration: half a megabyte at 4 Mbit/s.
+const TRANSFER_MS: u64 = 1_000;
+/// Required time from a version's acknowledgement until it is in force.
+const MAX_LAG_MS: u64 = 2_500;
 
-fn written(now: u64) -> u64 {
-    (now / EVERY_MS).min(VERSIONS)
+/// Returns the newest version written at `now_ms`.
+fn newest_written(now_ms: u64) -> u64 {
+    (now_ms / WRITE_INTERVAL_MS).min(VERSIONS)
 }
 
-/// The longest that a node was behind a version, in milliseconds, with `choose` after each look.
-fn longest_behind(choose: impl Fn(ConfigVersion, Option<ConfigVersion>) -> Next) -> u64 {
-    let (mut now, mut taken, mut longest) = (0, 0, 0);
+/// Returns the longest time from the write of a version until the node has it, in milliseconds.
+/// `choose` selects each read of the node.
+fn max_lag_ms(choose: impl Fn(ConfigVersion, Option<ConfigVersion>) -> Next) -> u64 {
+    let (mut now, mut taken, mut max_lag) = (0, 0, 0);
     while taken < VERSIONS {
-        let newest = written(now);
+        let newest = newest_written(now);
         if newest == taken {
-            now += EVERY_MS;
+            now += WRITE_INTERVAL_MS;
             continue;
         }
         let version = match choose(ConfigVersion(taken), Some(ConfigVersion(newest))) {
             Next::Changes => taken + 1,
             Next::Rows => newest,
         };
-        now += TAKES_MS;
+        now += TRANSFER_MS;
         taken = version;
-        longest = longest.max(now - (taken - 1) * EVERY_MS - EVERY_MS);
+        max_lag = max_lag.max(now - (taken - 1) * WRITE_INTERVAL_MS - WRITE_INTERVAL_MS);
     }
-    longest
+    max_lag
 }
 
+/// Guards against a node that falls ever further behind: each version takes longer to transfer than
+/// the interval between writes, so the intermediate versions have to be skipped.
 #[test]
-fn a_storm_over_a_slow_link_is_followed_by_its_newest_version() {
-    assert!(longest_behind(|_, _| Next::Changes) > ALLOWED_MS, "each change is read in turn");
-    assert!(longest_behind(next) <= ALLOWED_MS, "{}", longest_behind(next));
+fn a_node_on_a_slow_link_skips_versions_and_stays_within_the_lag() {
+    assert!(max_lag_ms(|_, _| Next::Changes) > MAX_LAG_MS, "the change feed alone is fast enough");
+    assert!(max_lag_ms(next) <= MAX_LAG_MS, "lag of {} ms", max_lag_ms(next));
 }
 
+/// Guards against needless listings by a node whose peers announce no higher version.
 #[test]
-fn a_node_that_is_not_behind_waits_for_changes() {
+fn only_a_node_behind_its_peers_lists_the_rows() {
     assert_eq!(next(ConfigVersion(4), Some(ConfigVersion(4))), Next::Changes);
     assert_eq!(next(ConfigVersion(5), Some(ConfigVersion(4))), Next::Changes);
     assert_eq!(next(ConfigVersion(4), None), Next::Changes);
--- a/crates/sycamore-config/tests/scenarios.rs
+++ b/crates/sycamore-config/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios of the apply machine; the files under `scenarios/` read like a story.
+//! Scripted scenarios of [`Apply`], in the files under `scenarios/`.
 
 mod common;
 
@@ -11,14 +11,14 @@
 use sycamore_config::{Action, Apply, ApplySettings, Encoded, FetchAnswer, Input, Source};
 use sycamore_types::prelude::*;
 
-/// One node and the configurations that the story has named.
-struct Story {
+/// State of one script: a node, and the configurations defined so far by name.
+struct Scenario {
     node: Apply,
     configs: BTreeMap<String, Encoded>,
     now: Time,
 }
 
-impl Story {
+impl Scenario {
     fn new() -> Self {
         let settings =
             ApplySettings { peer_attempts: 1, max_failures: 15, ..ApplySettings::default() };
@@ -33,16 +33,17 @@
                 "nothing kept\n".to_owned()
             }
             "floor" => self.step(Input::Floor(ConfigVersion(number(case, "version")))),
-            "hear" => {
+            "learn" => {
                 let head = self.named(case).head;
                 let from = match values(case, "from").next() {
                     Some("row") => Source::Store,
                     _ => Source::Peer,
                 };
-                let lead = values(case, "lead_ms").next().map_or(0, |ms| ms.parse().expect("ms"));
+                let lead =
+                    values(case, "fetch_delay_ms").next().map_or(0, |ms| ms.parse().expect("ms"));
                 self.step(Input::Heard { head, from, lead: Duration::from_millis(lead) })
             }
-            "given" => {
+            "receive" => {
                 let encoded = self.named(case);
                 self.step(Input::Given { head: encoded.head, pack: encoded.pack() })
             }
@@ -55,7 +56,8 @@
         }
     }
 
-    /// `config NAME version=N services=(NAME, ..) routes=(NAME-SERVICE-MS, ..)`
+    /// Runs `config NAME version=N services=(NAME, ..) routes=(NAME-SERVICE-MS, ..)`, which defines
+    /// a configuration.
     fn config(&mut self, case: &TestCase) -> String {
         let mut resources: Vec<Resource> = values(case, "services").map(service).collect();
         for text in values(case, "routes") {
@@ -68,7 +70,8 @@
         text
     }
 
-    /// `answer NAME from=(peer|store) with=(all|manifest|nothing|noise|absent)`
+    /// Runs `answer NAME with=(all|pack|manifest|noise|nothing|absent)`, which ends the pending
+    /// fetch of a configuration.
     fn answer(&mut self, case: &TestCase) -> String {
         let encoded = self.named(case).clone();
         let all = || std::iter::once(&encoded.manifest).chain(&encoded.resources).cloned();
@@ -135,10 +138,11 @@
     values(case, key).next().expect("a number").parse().expect("a number")
 }
 
+/// Guards the order of fetches and applications against the expected output in each script.
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios", |f| {
-        let mut story = Story::new();
-        f.run(|case| story.run(case));
+        let mut scenario = Scenario::new();
+        f.run(|case| scenario.run(case));
     });
 }
