--- a/crates/sycamore-config/src/apply/machine.rs
+++ b/crates/sycamore-config/src/apply/machine.rs
@@ -79,10 +79,10 @@
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Action> {
         let mut actions = Vec::new();
         match input {
-            Input::Heard { head, from, lead } => {
-                self.on_head(now + lead, head, from, &mut actions);
+            Input::HeadLearned { head, from, fetch_delay } => {
+                self.on_head(now + fetch_delay, head, from, &mut actions);
             }
-            Input::Given { head, pack } => self.on_pack(now, head, pack, &mut actions),
+            Input::PackReceived { head, pack } => self.on_pack(now, head, pack, &mut actions),
             Input::Floor(version) => self.on_floor(version, &mut actions),
             Input::Fetched { head, answer } => self.on_fetched(now, head, answer, &mut actions),
             Input::Tick => {}
--- a/crates/sycamore-config/src/apply/mod.rs
+++ b/crates/sycamore-config/src/apply/mod.rs
@@ -78,17 +78,17 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
     /// A configuration head was learned from a peer or from the head row.
-    Heard {
+    HeadLearned {
         /// Version and manifest hash of the configuration.
         head: ConfigHead,
         /// Origin of the head. A head from the platform is fetched from the object store first,
         /// because few peers have its objects yet.
         from: Source,
         /// Delay before the first fetch, during which the pack may arrive unrequested.
-        lead: Duration,
+        fetch_delay: Duration,
     },
     /// A complete configuration arrived without a fetch.
-    Given {
+    PackReceived {
         /// Version and manifest hash of the configuration.
         head: ConfigHead,
         /// Manifest and all resources, in the object store's format.
--- a/crates/sycamore-config/src/floor/mod.rs
+++ b/crates/sycamore-config/src/floor/mod.rs
@@ -59,12 +59,12 @@
     /// Sets the floor from the head row, unless it is already known, and returns it.
     ///
     /// `head` is `None` if the row doesn't exist, which gives version 0.
-    pub fn read(&mut self, head: Option<ConfigHead>) -> Option<ConfigVersion> {
+    pub fn on_head_row(&mut self, head: Option<ConfigHead>) -> Option<ConfigVersion> {
         self.set(head.map_or(ConfigVersion::default(), |head| head.version))
     }
 
     /// Records a peer's head and returns the floor once enough peers have reported.
-    pub fn told(&mut self, peer: PeerHead<'_>) -> Option<ConfigVersion> {
+    pub fn on_peer_head(&mut self, peer: PeerHead<'_>) -> Option<ConfigVersion> {
         if self.known.is_some() || self.peer_heads.len() >= MAX_PEER_HEADS {
             return self.known;
         }
--- a/crates/sycamore-config/src/follow.rs
+++ b/crates/sycamore-config/src/follow.rs
@@ -2,9 +2,9 @@
 
 use sycamore_types::prelude::*;
 
-/// Next read of the platform's operator rows.
+/// NextRead read of the platform's operator rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextRead {
     /// Reads the changes after the last one received.
     Changes,
     /// Lists the current rows, which skips intermediate versions.
@@ -16,9 +16,9 @@
 /// The change feed delivers every version in turn, each with its whole configuration, so a node on
 /// a slow link falls behind when many versions are written in quick succession. A listing holds
 /// only the newest version.
-pub fn next(taken: ConfigVersion, known: Option<ConfigVersion>) -> Next {
+pub fn choose_read(taken: ConfigVersion, known: Option<ConfigVersion>) -> NextRead {
     match known {
-        Some(known) if known > taken => Next::Rows,
-        Some(_) | None => Next::Changes,
+        Some(known) if known > taken => NextRead::Rows,
+        Some(_) | None => NextRead::Changes,
     }
 }
--- a/crates/sycamore-config/tests/apply_model.rs
+++ b/crates/sycamore-config/tests/apply_model.rs
@@ -118,7 +118,7 @@
 impl ApplyModel {
     fn step(&self, state: &mut State, input: Input) {
         let learned = match &input {
-            Input::Heard { head, .. } => Some(*head),
+            Input::HeadLearned { head, .. } => Some(*head),
             _ => None,
         };
         let node = &mut state.node;
@@ -232,7 +232,11 @@
             let mut next = state.clone();
             self.step(
                 &mut next,
-                Input::Heard { head: encoded.head, from: Source::Peer, lead: Duration::ZERO },
+                Input::HeadLearned {
+                    head: encoded.head,
+                    from: Source::Peer,
+                    fetch_delay: Duration::ZERO,
+                },
             );
             transitions
                 .push((format!("the node learns of version {}", encoded.head.version), next));
@@ -246,7 +250,7 @@
         }
         let head = state.accepted.checked_sub(1).map(|at| self.configs[at].0.head);
         let mut next = state.clone();
-        if let Some(floor) = next.node.floor.read(head) {
+        if let Some(floor) = next.node.floor.on_head_row(head) {
             self.set_floor(&mut next, floor);
         }
         transitions.push(("the node reads the head row".to_owned(), next));
@@ -255,7 +259,7 @@
             let mut next = state.clone();
             let (instance, data_centre) = (instance(), data_centre());
             let peer_head = PeerHead { instance: &instance, data_centre: &data_centre, head };
-            if let Some(floor) = next.node.floor.told(peer_head) {
+            if let Some(floor) = next.node.floor.on_peer_head(peer_head) {
                 // A peer proves no more than its own version, so the check ignores the version that
                 // the instance served before. The design page estimates how often it was higher.
                 next.node.served = 0;
--- a/crates/sycamore-config/tests/floor.rs
+++ b/crates/sycamore-config/tests/floor.rs
@@ -7,7 +7,7 @@
 /// Reports `version` as the head of `instance` in data centre `dc`.
 fn peer_head(floor: &mut Floor, instance: &str, dc: &str, version: u64) -> Option<ConfigVersion> {
     let head = ConfigHead { version: ConfigVersion(version), manifest: ContentHash([0; 32]) };
-    floor.told(PeerHead {
+    floor.on_peer_head(PeerHead {
         instance: &InstanceId::new(instance).expect("constant identifier"),
         data_centre: &DataCentre::new(dc).expect("constant identifier"),
         head,
@@ -19,7 +19,7 @@
 fn an_absent_head_row_gives_floor_zero() {
     let mut floor = Floor::new(FloorSettings::default());
     assert_eq!(floor.known(), None);
-    assert_eq!(floor.read(None), Some(ConfigVersion(0)));
+    assert_eq!(floor.on_head_row(None), Some(ConfigVersion(0)));
 }
 
 /// Guards against a floor from too few peers, from one peer counted twice, or from one data centre.
--- a/crates/sycamore-config/tests/follow.rs
+++ b/crates/sycamore-config/tests/follow.rs
@@ -1,6 +1,6 @@
 //! Choice between the change feed and a listing for a node on a slow link.
 
-use sycamore_config::follow::{next, Next};
+use sycamore_config::follow::{choose_read, NextRead};
 use sycamore_types::prelude::*;
 
 /// Number of versions that an operator writes, one every [`WRITE_INTERVAL_MS`].
@@ -18,7 +18,7 @@
 
 /// Returns the longest time from the write of a version until the node has it, in milliseconds.
 /// `choose` selects each read of the node.
-fn max_lag_ms(choose: impl Fn(ConfigVersion, Option<ConfigVersion>) -> Next) -> u64 {
+fn max_lag_ms(choose: impl Fn(ConfigVersion, Option<ConfigVersion>) -> NextRead) -> u64 {
     let (mut now, mut taken, mut max_lag) = (0, 0, 0);
     while taken < VERSIONS {
         let newest = newest_written(now);
@@ -27,8 +27,8 @@
             continue;
         }
         let version = match choose(ConfigVersion(taken), Some(ConfigVersion(newest))) {
-            Next::Changes => taken + 1,
-            Next::Rows => newest,
+            NextRead::Changes => taken + 1,
+            NextRead::Rows => newest,
         };
         now += TRANSFER_MS;
         taken = version;
@@ -41,15 +41,18 @@
 /// the interval between writes, so the intermediate versions have to be skipped.
 #[test]
 fn a_node_on_a_slow_link_skips_versions_and_stays_within_the_lag() {
-    assert!(max_lag_ms(|_, _| Next::Changes) > MAX_LAG_MS, "the change feed alone is fast enough");
-    assert!(max_lag_ms(next) <= MAX_LAG_MS, "lag of {} ms", max_lag_ms(next));
+    assert!(
+        max_lag_ms(|_, _| NextRead::Changes) > MAX_LAG_MS,
+        "the change feed alone is fast enough"
+    );
+    assert!(max_lag_ms(choose_read) <= MAX_LAG_MS, "lag of {} ms", max_lag_ms(choose_read));
 }
 
 /// Guards against needless listings by a node whose peers announce no higher version.
 #[test]
 fn only_a_node_behind_its_peers_lists_the_rows() {
-    assert_eq!(next(ConfigVersion(4), Some(ConfigVersion(4))), Next::Changes);
-    assert_eq!(next(ConfigVersion(5), Some(ConfigVersion(4))), Next::Changes);
-    assert_eq!(next(ConfigVersion(4), None), Next::Changes);
-    assert_eq!(next(ConfigVersion(4), Some(ConfigVersion(5))), Next::Rows);
+    assert_eq!(choose_read(ConfigVersion(4), Some(ConfigVersion(4))), NextRead::Changes);
+    assert_eq!(choose_read(ConfigVersion(5), Some(ConfigVersion(4))), NextRead::Changes);
+    assert_eq!(choose_read(ConfigVersion(4), None), NextRead::Changes);
+    assert_eq!(choose_read(ConfigVersion(4), Some(ConfigVersion(5))), NextRead::Rows);
 }
--- a/crates/sycamore-config/tests/scenarios.rs
+++ b/crates/sycamore-config/tests/scenarios.rs
@@ -39,13 +39,17 @@
                     Some("row") => Source::Store,
                     _ => Source::Peer,
                 };
-                let lead =
+                let fetch_delay =
                     values(case, "fetch_delay_ms").next().map_or(0, |ms| ms.parse().expect("ms"));
-                self.step(Input::Heard { head, from, lead: Duration::from_millis(lead) })
+                self.step(Input::HeadLearned {
+                    head,
+                    from,
+                    fetch_delay: Duration::from_millis(fetch_delay),
+                })
             }
             "receive" => {
                 let encoded = self.named(case);
-                self.step(Input::Given { head: encoded.head, pack: encoded.pack() })
+                self.step(Input::PackReceived { head: encoded.head, pack: encoded.pack() })
             }
             "answer" => self.answer(case),
             "wait" => {
--- a/crates/sycamore-node/src/config/driver.rs
+++ b/crates/sycamore-node/src/config/driver.rs
@@ -103,18 +103,22 @@
     /// Takes a whole configuration that came by itself: accepted through this node, or read from an
     /// operator's row.
     pub(super) fn given(&self, head: ConfigHead, pack: Bytes) {
-        self.input(Input::Given { head, pack });
+        self.input(Input::PackReceived { head, pack });
         self.hub.raise(Fact::Head(head));
     }
 
     /// Takes what the platform's head row said; `None` where there is no row.
     pub(super) fn read_head(&self, head: Option<ConfigHead>) {
         if let Some(head) = head {
-            self.input(Input::Heard { head, from: Source::Store, lead: Duration::ZERO });
+            self.input(Input::HeadLearned {
+                head,
+                from: Source::Store,
+                fetch_delay: Duration::ZERO,
+            });
             self.hub.raise(Fact::Head(head));
         }
         if self.floor().is_none() {
-            let floor = self.floor.borrow_mut().read(head);
+            let floor = self.floor.borrow_mut().on_head_row(head);
             self.learn_floor(floor);
         }
     }
@@ -125,7 +129,7 @@
         if self.floor().is_none() {
             let (instance, data_centre) = (&peer.instance, &peer.data_centre);
             let told = PeerHead { instance, data_centre, head };
-            let floor = self.floor.borrow_mut().told(told);
+            let floor = self.floor.borrow_mut().on_peer_head(told);
             self.learn_floor(floor);
         }
     }
@@ -134,7 +138,7 @@
     /// configuration is likely on its way from there.
     pub(super) fn heard_of(&self, head: ConfigHead) {
         let lead = if self.follows.get() { ROW_LEAD } else { Duration::ZERO };
-        self.input(Input::Heard { head, from: Source::Peer, lead });
+        self.input(Input::HeadLearned { head, from: Source::Peer, fetch_delay: lead });
     }
 
     /// Notes that a peer did not have objects of `head`.
--- a/crates/sycamore-node/src/config/follow.rs
+++ b/crates/sycamore-node/src/config/follow.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use sycamore_config::follow::{next, Next};
+use sycamore_config::follow::{choose_read, NextRead};
 use sycamore_config::{Bundle, Encoded};
 use sycamore_platform::backoff::{Backoff, BackoffSettings};
 use sycamore_platform::{Error, PageQuery, Result, Revision, Row, Table};
@@ -88,9 +88,10 @@
         match platform.changes(prefix, at, wait).await {
             Ok(changes) => {
                 changes.rows.iter().for_each(|row| self.take(row));
-                self.at = match next(self.driver.hub.snapshot.borrow().version, self.known()) {
-                    Next::Changes => Some(changes.at),
-                    Next::Rows => None,
+                self.at = match choose_read(self.driver.hub.snapshot.borrow().version, self.known())
+                {
+                    NextRead::Changes => Some(changes.at),
+                    NextRead::Rows => None,
                 };
                 Ok(())
             }
