--- a/crates/sycamore-member/src/lib.rs
+++ b/crates/sycamore-member/src/lib.rs
@@ -1,8 +1,8 @@
-//! Membership among nodes: failure detection, dissemination and spread facts.
+//! Cluster membership of nodes: failure detection, and dissemination of member records and facts.
 //!
-//! [`Membership`] is a pure state machine: it is given the time, datagrams and answers, and gives
-//! what is to be sent. The table is a join semilattice, so that the order of arrival, duplicates
-//! and losses of messages don't matter for what nodes end up with.
+//! [`Membership`] is a pure state machine: it takes the time, datagrams and replies as input and
+//! returns the messages to send. Its table is a join semilattice, so nodes converge regardless of
+//! the order, duplication and loss of messages.
 
 mod detect;
 pub mod machine;
--- a/crates/sycamore-member/src/machine/exchange.rs
+++ b/crates/sycamore-member/src/machine/exchange.rs
@@ -1,4 +1,4 @@
-//! Comparing tables with another node: buckets whose digests differ are exchanged.
+//! Table exchange with another node: the items of buckets with differing digests are transferred.
 
 use super::{Action, Membership, Now};
 use crate::message::{Digest, ExchangeReply, ExchangeRequest, Item, ItemKey, Scope};
@@ -8,60 +8,63 @@
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// Exchanges that this node has under way at most.
+/// Upper bound on pending exchanges started by this node.
 const MAX_EXCHANGES: usize = 2;
-/// An exchange whose end was not told is taken for failed after this time.
-const EXCHANGE_LIMIT: Duration = Duration::from_secs(10);
-/// Time for which facts may differ before they are compared: what is being pushed arrives sooner.
-const FACT_PATIENCE: Duration = Duration::from_millis(100);
-/// Least time between two comparisons of facts. Each that brings nothing doubles it, up to the time
-/// between comparisons of tables: clocks that differ make facts expire at different moments.
-const FACT_INTERVAL: Duration = Duration::from_millis(300);
+/// Time after which an exchange without a reported result counts as failed.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time for which facts must differ before they are exchanged; pushed facts arrive sooner.
+const MIN_FACT_MISMATCH: Duration = Duration::from_millis(100);
+/// Lower bound on the time between two fact exchanges. Each exchange without a new fact doubles it,
+/// up to the interval of table exchanges, because clock skew makes facts expire at different times,
+/// a difference that an exchange can't remove.
+const MIN_FACT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Comparing facts alone.
+/// Schedule of exchanges that compare only facts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(crate) struct FactExchange {
-    /// Since when another node's facts have differed, and which node's.
+    /// Start of the current difference to another node's facts, and the node that differed last.
     mismatch: Option<(Time, InstanceId)>,
-    /// Earliest time of the next comparison.
+    /// Earliest time of the next fact exchange.
     next: Time,
-    /// Comparisons one after the other that brought nothing.
-    idle: u32,
+    /// Number of consecutive fact exchanges without a new fact.
+    fruitless: u32,
 }
 
 impl FactExchange {
-    /// The node to compare with, where it is time to.
-    fn due(&mut self, now: Time) -> Option<InstanceId> {
+    /// Returns the node to exchange facts with if an exchange is due, and resets the difference.
+    fn take_due(&mut self, now: Time) -> Option<InstanceId> {
         let (since, _) = self.mismatch.as_ref()?;
-        if now < self.next || now.since(*since) < FACT_PATIENCE {
+        if now < self.next || now.since(*since) < MIN_FACT_MISMATCH {
             return None;
         }
         self.mismatch.take().map(|(_, peer)| peer)
     }
 
-    fn started(&mut self, now: Time, longest: Duration) {
-        let factor = 1_u32.checked_shl(self.idle).unwrap_or(u32::MAX);
-        self.next = now + FACT_INTERVAL.saturating_mul(factor).min(longest);
-        self.idle = self.idle.saturating_add(1);
+    /// Schedules the next fact exchange at most `max_interval` after one that starts at `now`.
+    fn schedule_next(&mut self, now: Time, max_interval: Duration) {
+        let factor = 1_u32.checked_shl(self.fruitless).unwrap_or(u32::MAX);
+        self.next = now + MIN_FACT_INTERVAL.saturating_mul(factor).min(max_interval);
+        self.fruitless = self.fruitless.saturating_add(1);
     }
 }
 
 impl Membership {
-    /// Answers another node's request.
+    /// Joins the items of another node's exchange request and returns the reply.
     pub fn answer(&mut self, now: Now, request: &ExchangeRequest) -> (ExchangeReply, Vec<Action>) {
         let mut actions = Vec::new();
-        let reply = self.differing(request);
-        self.catch_up(now, request.items.clone(), &mut actions);
+        let reply = self.differing_buckets(request);
+        self.join_exchanged(now, request.items.clone(), &mut actions);
         (reply, actions)
     }
 
-    /// The items of the buckets that differ from those of `request`, as far as they fit.
-    fn differing(&self, request: &ExchangeRequest) -> ExchangeReply {
+    /// Returns the items of the buckets that differ from those of `request`, up to the size limit
+    /// of a message. The first differing bucket is always included.
+    fn differing_buckets(&self, request: &ExchangeRequest) -> ExchangeReply {
         let mut reply = ExchangeReply::default();
         if request.buckets.len() != BUCKETS {
             return reply;
         }
-        let mut left = self.options.exchange_bytes;
+        let mut bytes_left = self.options.exchange_bytes;
         let own = self.table.buckets(request.scope);
         let first_bucket = request.first as usize % BUCKETS;
         for bucket in (0..BUCKETS).map(|step| (first_bucket + step) % BUCKETS) {
@@ -70,29 +73,29 @@
             }
             let items = self.table.bucket_items(bucket, request.scope);
             let size: usize = items.iter().map(Item::size).sum();
-            let first = reply.differing.is_empty();
-            if size > left && !first {
+            let is_first = reply.differing.is_empty();
+            if size > bytes_left && !is_first {
                 reply.next = u32::try_from(bucket).ok();
                 break;
             }
-            left = left.saturating_sub(size);
+            bytes_left = bytes_left.saturating_sub(size);
             reply.differing.extend(u32::try_from(bucket));
             reply.items.extend(items);
         }
         reply
     }
 
-    /// Takes members from the platform's table; a node that has not compared its table yet starts
-    /// with one of them.
-    pub(super) fn rows(&mut self, now: Now, rows: Vec<Member>, actions: &mut Vec<Action>) {
+    /// Joins members from the platform's table. A node that isn't synced yet starts an exchange
+    /// with a random live member.
+    pub(super) fn on_rows(&mut self, now: Now, rows: Vec<Member>, actions: &mut Vec<Action>) {
         self.join(now, rows.into_iter().map(Item::Member).collect(), actions);
         if !self.synced {
-            self.exchange_with_any(now, actions);
+            self.exchange_with_random(now, actions);
         }
     }
 
-    /// Meets a node that the table doesn't have yet.
-    pub(super) fn meet(
+    /// Starts an exchange with a node that is missing from the table.
+    pub(super) fn exchange_with_unknown(
         &mut self,
         now: Now,
         peer: &InstanceId,
@@ -100,19 +103,19 @@
         actions: &mut Vec<Action>,
     ) {
         if now.mono >= self.next_exchange {
-            self.exchange(now, peer.clone(), to, 0, actions);
+            self.start_table_exchange(now, peer.clone(), to, 0, actions);
         }
     }
 
-    /// Notes whether another node's table has the digest that this one has.
-    pub(super) fn compare(&mut self, now: Now, peer: &InstanceId, digest: Digest) {
+    /// Records whether another node's digest differs from the digest of this node's table.
+    pub(super) fn record_digest(&mut self, now: Now, peer: &InstanceId, digest: Digest) {
         let own = self.table.digest();
         if digest.facts == own.facts {
-            self.facts.mismatch = None;
-            self.facts.idle = 0;
+            self.fact_exchange.mismatch = None;
+            self.fact_exchange.fruitless = 0;
         } else if self.synced {
-            let since = self.facts.mismatch.take().map_or(now.mono, |(since, _)| since);
-            self.facts.mismatch = Some((since, peer.clone()));
+            let since = self.fact_exchange.mismatch.take().map_or(now.mono, |(since, _)| since);
+            self.fact_exchange.mismatch = Some((since, peer.clone()));
         }
         if digest == own {
             self.mismatch = None;
@@ -123,57 +126,60 @@
         self.mismatch_peer = Some(peer.clone());
     }
 
-    /// Starts an exchange where tables have differed for long enough.
-    pub(super) fn start_exchange(&mut self, now: Now, actions: &mut Vec<Action>) {
-        self.exchanging.retain(|_, (since, _)| now.mono.since(*since) < EXCHANGE_LIMIT);
-        self.compare_facts(now, actions);
+    /// Starts the exchanges that are due.
+    pub(super) fn start_due_exchanges(&mut self, now: Now, actions: &mut Vec<Action>) {
+        self.exchanging.retain(|_, (since, _)| now.mono.since(*since) < EXCHANGE_TIMEOUT);
+        self.start_fact_exchange(now, actions);
         if now.mono < self.next_exchange {
             return;
         }
         if !self.synced {
-            self.exchange_with_any(now, actions);
+            self.exchange_with_random(now, actions);
             return;
         }
         let Some(since) = self.mismatch else { return };
-        let quiet = now.mono.since(self.last_change) >= self.options.quiet;
-        if !quiet && now.mono.since(since) < self.options.patience {
+        let is_settled = now.mono.since(self.last_change) >= self.options.settle_time;
+        if !is_settled && now.mono.since(since) < self.options.max_mismatch_time {
             return;
         }
         let peer = self.mismatch_peer.take();
         let known = peer.and_then(|peer| self.table.member(&peer).cloned());
         if let Some(member) = known {
             self.mismatch = None;
-            // A part of what differs at a time, so that a herd costs no burst of bytes.
+            // The reply covers part of the differences from a random bucket on, which avoids a
+            // burst of traffic when many members change at once.
             let first = u32::try_from(self.random.index(BUCKETS)).unwrap_or(0);
-            self.exchange(now, member.instance, member.endpoints.peer, first, actions);
+            self.start_table_exchange(now, member.instance, member.endpoints.peer, first, actions);
         }
     }
 
-    /// Compares facts with a node whose facts differ.
-    fn compare_facts(&mut self, now: Now, actions: &mut Vec<Action>) {
+    /// Starts a fact exchange if one is due.
+    fn start_fact_exchange(&mut self, now: Now, actions: &mut Vec<Action>) {
         if self.exchanging.len() >= MAX_EXCHANGES {
             return;
         }
-        let Some(peer) = self.facts.due(now.mono) else { return };
+        let Some(peer) = self.fact_exchange.take_due(now.mono) else { return };
         if self.exchanging.contains_key(&peer) {
             return;
         }
         let Some(to) = self.table.member(&peer).map(|member| member.endpoints.peer) else { return };
-        self.facts.started(now.mono, self.options.exchange_interval);
-        self.request(now, peer, to, 0, Scope::Facts, actions);
+        self.fact_exchange.schedule_next(now.mono, self.options.exchange_interval);
+        self.send_request(now, peer, to, 0, Scope::Facts, actions);
     }
 
-    fn exchange_with_any(&mut self, now: Now, actions: &mut Vec<Action>) {
+    /// Starts an exchange with a random live member.
+    fn exchange_with_random(&mut self, now: Now, actions: &mut Vec<Action>) {
         let live = |m: &&Member| m.state != MemberState::Dead && m.instance != self.me.instance;
         let mut peers: Vec<Member> = self.table.members().filter(live).cloned().collect();
         if peers.is_empty() {
             return;
         }
         let peer = peers.swap_remove(self.random.index(peers.len()));
-        self.exchange(now, peer.instance, peer.endpoints.peer, 0, actions);
+        self.start_table_exchange(now, peer.instance, peer.endpoints.peer, 0, actions);
     }
 
-    fn exchange(
+    /// Starts an exchange of whole tables from bucket `first`, unless too many are pending.
+    fn start_table_exchange(
         &mut self,
         now: Now,
         peer: InstanceId,
@@ -187,10 +193,11 @@
         let interval =
             if self.synced { self.options.exchange_interval } else { self.options.probe_interval };
         self.next_exchange = now.mono + interval + self.random.up_to(interval);
-        self.request(now, peer, to, first, Scope::All, actions);
+        self.send_request(now, peer, to, first, Scope::All, actions);
     }
 
-    fn request(
+    /// Adds the action that sends an exchange request for `scope`, and marks it as pending.
+    fn send_request(
         &mut self,
         now: Now,
         peer: InstanceId,
@@ -205,8 +212,8 @@
         actions.push(Action::Exchange { peer, to, request });
     }
 
-    /// Takes an exchange's answer; offers what the other node lacks.
-    pub(super) fn exchanged(
+    /// Joins the reply to an exchange and offers the items that the other node lacks.
+    pub(super) fn on_exchange_reply(
         &mut self,
         now: Now,
         peer: &InstanceId,
@@ -217,9 +224,9 @@
         let Some(reply) = reply else { return };
         let offers = self.offers(&reply, scope);
         let before = self.table.digest().facts;
-        self.catch_up(now, reply.items, actions);
+        self.join_exchanged(now, reply.items, actions);
         if self.table.digest().facts != before {
-            self.facts.idle = 0;
+            self.fact_exchange.fruitless = 0;
         }
         let Some(to) = self.table.member(peer).map(|member| member.endpoints.peer) else { return };
         if !offers.is_empty() {
@@ -228,24 +235,28 @@
         }
         match reply.next {
             _ if scope == Scope::Facts => {}
-            Some(first) if !self.synced => self.exchange(now, peer.clone(), to, first, actions),
+            Some(first) if !self.synced => {
+                self.start_table_exchange(now, peer.clone(), to, first, actions)
+            }
             Some(_) => {}
             None => self.synced = true,
         }
     }
 
-    /// Items of the differing buckets of which this node knows more than `reply` says.
+    /// Returns the items of the differing buckets that are missing from `reply` or supersede its
+    /// items, up to the size limit of a message.
     fn offers(&self, reply: &ExchangeReply, scope: Scope) -> Vec<Item> {
         let theirs: BTreeMap<ItemKey, &Item> =
             reply.items.iter().map(|item| (item.key(), item)).collect();
-        let mut left = self.options.exchange_bytes;
+        let mut bytes_left = self.options.exchange_bytes;
         let mut offers = Vec::new();
         for bucket in &reply.differing {
             for item in self.table.bucket_items(*bucket as usize, scope) {
-                let more = theirs.get(&item.key()).is_none_or(|their| tells_more(&item, their));
-                let rest = left.checked_sub(item.size());
-                if let (true, Some(rest)) = (more, rest) {
-                    left = rest;
+                let is_newer =
+                    theirs.get(&item.key()).is_none_or(|their| item_supersedes(&item, their));
+                let rest = bytes_left.checked_sub(item.size());
+                if let (true, Some(rest)) = (is_newer, rest) {
+                    bytes_left = rest;
                     offers.push(item);
                 }
             }
@@ -254,7 +265,8 @@
     }
 }
 
-fn tells_more(mine: &Item, theirs: &Item) -> bool {
+/// Returns whether `mine` replaces `theirs`, an item with the same key.
+fn item_supersedes(mine: &Item, theirs: &Item) -> bool {
     match (mine, theirs) {
         (Item::Member(mine), Item::Member(theirs)) => supersedes(mine, theirs),
         (Item::Fact(mine), Item::Fact(theirs)) => mine.replaces(theirs),
--- a/crates/sycamore-member/src/machine/mod.rs
+++ b/crates/sycamore-member/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! The membership machine of one node.
+//! Membership state machine of one node.
 
 mod exchange;
 mod local;
@@ -7,124 +7,131 @@
 mod push;
 mod suspect;
 
-use crate::detect::{Detector, Reach};
+use crate::detect::{Detector, Reachability};
 use crate::message::{ExchangeReply, ExchangeRequest, Item, Packet, Scope};
 use crate::options::Options;
 use crate::random::Random;
-use crate::spread::{ByteBudget, News};
+use crate::spread::{ByteBudget, UpdateQueue};
 use crate::table::{Joined, Table};
 use exchange::FactExchange;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use sycamore_types::prelude::*;
 
-/// The time of a step.
+/// Current time, passed to every step of the state machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Now {
-    /// Monotonic time of this process.
+    /// Monotonic time of the process.
     pub mono: Time,
-    /// Civil time.
+    /// Wall clock time.
     pub wall: WallTime,
 }
 
-/// What this node's own member is to say about it.
+/// State that a node announces for its own member.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum LocalState {
-    /// The upstream has not announced itself, or is gone.
+    /// The upstream has not announced itself yet, or was lost.
     Joining,
-    /// The upstream takes work.
+    /// The upstream accepts calls.
     Serving {
-        /// Its version.
+        /// Version of the upstream.
         version: UpstreamVersion,
-        /// Slots that it declared.
+        /// Number of slots declared by the upstream.
         slots: u16,
     },
-    /// The instance leaves.
+    /// The instance accepts no new calls and will leave.
     Draining,
-    /// The node stops.
+    /// The node stops; no later state is announced.
     Left,
 }
 
-/// What happens to the machine.
+/// Event that [`Membership`] processes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// Time has passed; due several times within [`Options::probe_timeout`].
+    /// Time passed; has to occur several times within [`Options::probe_timeout`].
     Tick,
     /// A datagram arrived.
     Packet {
-        /// Its source.
+        /// Source address of the datagram.
         from: SocketAddr,
-        /// The datagram.
+        /// Decoded datagram.
         packet: Packet,
     },
-    /// Members as the platform's table holds them.
+    /// Member records were read from the platform's table.
     Rows(Vec<Member>),
-    /// A fact of this node.
+    /// This node publishes a fact.
     Raise(Fact),
-    /// This node's own member changed.
+    /// The state of this node's own member changed.
     Local(LocalState),
-    /// An exchange that this node started has ended.
+    /// An exchange started by this node ended.
     Exchanged {
-        /// The other node.
+        /// Instance that the exchange was with.
         peer: InstanceId,
-        /// Its answer; `None` where there was none.
+        /// Reply of that instance; `None` if the request failed.
         reply: Option<ExchangeReply>,
     },
 }
 
-/// What is to be done after a step.
+/// Operation that the caller of [`Membership`] has to perform.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
-        /// The datagram.
+        /// Datagram to send.
         packet: Packet,
     },
-    /// Start an exchange, and give its end as [`Input::Exchanged`].
+    /// Send an exchange request and report its result as [`Input::Exchanged`].
     Exchange {
-        /// The other node.
+        /// Instance to exchange tables with.
         peer: InstanceId,
-        /// Its address.
+        /// Peer address of that instance.
         to: SocketAddr,
-        /// What to send.
+        /// Request to send.
         request: ExchangeRequest,
     },
-    /// A member changed.
+    /// Process the changed record of a member.
     MemberChanged(Member),
-    /// This node itself took a member for suspect or dead.
+    /// Process the record of a member that this node itself declared suspect or dead.
     Judged(Member),
-    /// A fact was learnt from another node.
+    /// Process a fact learned from another node.
     FactLearnt(Fact),
-    /// The view changed without a member's own record changing.
+    /// Read [`Membership::view`] again: the reachability of a data centre changed.
     ViewChanged,
 }
 
-/// The membership machine of one node.
+/// Membership state machine of one node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Membership {
     me: Member,
     options: Options,
     table: Table,
     detector: Detector,
-    reach: Reach,
-    news: News,
+    reachability: Reachability,
+    updates: UpdateQueue,
     budget: ByteBudget,
     random: Random,
     last_tick: Option<Time>,
+    /// Time of the last change to the table.
     last_change: Time,
+    /// Earliest time of the next exchange of whole tables.
     next_exchange: Time,
     next_expiry: Time,
+    /// Time since which another node's digest has differed.
     mismatch: Option<Time>,
+    /// Node whose digest differed last.
     mismatch_peer: Option<InstanceId>,
-    facts: FactExchange,
+    fact_exchange: FactExchange,
+    /// Pending exchanges started by this node, each with its start and scope.
     exchanging: BTreeMap<InstanceId, (Time, Scope)>,
+    /// Set once an exchange of whole tables was completed.
     synced: bool,
 }
 
 impl Membership {
-    /// The machine of the node with member `me`, whose choices are decided by `seed`.
+    /// Creates the state machine of the node with member record `me`; `seed` determines its random
+    /// choices.
     pub fn new(me: Member, options: Options, seed: u64, now: Now) -> Self {
         let mut random = Random::new(seed);
         let first_probe = now.mono + random.up_to(options.probe_interval);
@@ -133,8 +140,8 @@
         Self {
             table,
             detector: Detector::new(first_probe),
-            reach: Reach::default(),
-            news: News::default(),
+            reachability: Reachability::default(),
+            updates: UpdateQueue::default(),
             budget: ByteBudget::new(options.push_bytes_per_s, options.push_burst_bytes),
             random,
             last_tick: None,
@@ -143,7 +150,7 @@
             next_expiry: now.mono,
             mismatch: None,
             mismatch_peer: None,
-            facts: FactExchange::default(),
+            fact_exchange: FactExchange::default(),
             exchanging: BTreeMap::new(),
             synced: false,
             me,
@@ -151,46 +158,50 @@
         }
     }
 
-    /// Takes one input; gives what is to be done.
+    /// Processes one input and returns the operations to perform.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Action> {
         let mut actions = Vec::new();
         match input {
-            Input::Tick => self.tick(now, &mut actions),
-            Input::Packet { from, packet } => self.packet(now, from, packet, &mut actions),
-            Input::Rows(rows) => self.rows(now, rows, &mut actions),
-            Input::Raise(fact) => self.raise(now, fact, &mut actions),
-            Input::Local(state) => self.local(now, state, &mut actions),
-            Input::Exchanged { peer, reply } => self.exchanged(now, &peer, reply, &mut actions),
+            Input::Tick => self.on_tick(now, &mut actions),
+            Input::Packet { from, packet } => self.on_packet(now, from, packet, &mut actions),
+            Input::Rows(rows) => self.on_rows(now, rows, &mut actions),
+            Input::Raise(fact) => self.publish_fact(now, fact, &mut actions),
+            Input::Local(state) => self.on_local_state(now, state, &mut actions),
+            Input::Exchanged { peer, reply } => {
+                self.on_exchange_reply(now, &peer, reply, &mut actions)
+            }
         }
         actions
     }
 
-    /// This node's own member.
+    /// Returns the record of this node's own member.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// The table.
+    /// Returns the table of members and facts.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// Whether this node has compared its table with another's, to the end, since it started.
+    /// Returns whether this node has completed an exchange of whole tables since it started.
     pub fn is_synced(&self) -> bool {
         self.synced
     }
 
-    /// The members that are not dead. Those that serve in a data centre that is cut off are shown
-    /// as suspects.
+    /// Returns the members that are not dead. Serving members of a partitioned data centre are
+    /// returned as suspects.
     pub fn view(&self) -> MemberView {
         let live = self.table.members().filter(|member| member.state != MemberState::Dead);
-        let members = live.map(|member| (member.instance.clone(), self.shown(member)));
+        let members = live.map(|member| (member.instance.clone(), self.with_reachability(member)));
         MemberView { members: members.collect() }
     }
 
-    fn shown(&self, member: &Member) -> Member {
-        let cut = member.instance != self.me.instance && self.reach.is_cut(&member.data_centre);
-        let state = if cut && member.state == MemberState::Serving {
+    /// Returns `member`, as a suspect if it is serving in a partitioned data centre.
+    fn with_reachability(&self, member: &Member) -> Member {
+        let is_partitioned = member.instance != self.me.instance
+            && self.reachability.is_partitioned(&member.data_centre);
+        let state = if is_partitioned && member.state == MemberState::Serving {
             MemberState::Suspect
         } else {
             member.state
@@ -198,45 +209,51 @@
         Member { state, ..member.clone() }
     }
 
-    /// Joins `items` that a datagram from `source` brought and passes on what is new.
-    fn learn(&mut self, now: Now, items: Vec<Item>, source: SocketAddr, actions: &mut Vec<Action>) {
-        let fresh = self.join(now, items, actions);
-        self.spread(now, fresh, Some(source), actions);
+    /// Joins the items of a datagram from `source` and disseminates the new ones.
+    fn join_and_disseminate(
+        &mut self,
+        now: Now,
+        items: Vec<Item>,
+        source: SocketAddr,
+        actions: &mut Vec<Action>,
+    ) {
+        let new_items = self.join(now, items, actions);
+        self.disseminate(now, new_items, Some(source), actions);
     }
 
-    /// Joins `items` that a comparison of tables brought.
-    fn catch_up(&mut self, now: Now, items: Vec<Item>, actions: &mut Vec<Action>) {
-        let fresh = self.join(now, items, actions);
+    /// Joins the items of a table exchange and, once synced, queues the new ones for one datagram.
+    fn join_exchanged(&mut self, now: Now, items: Vec<Item>, actions: &mut Vec<Action>) {
+        let new_items = self.join(now, items, actions);
         if self.synced {
-            self.mention(&fresh);
+            self.queue_once(&new_items);
         }
     }
 
-    /// Joins `items`, reports what is new and gives it.
+    /// Joins `items`, reports the new ones as actions and returns them as full records.
     fn join(&mut self, now: Now, items: Vec<Item>, actions: &mut Vec<Action>) -> Vec<Item> {
-        let mut fresh = Vec::new();
+        let mut new_items = Vec::new();
         for item in items {
             if self.is_me(&item) {
                 self.refute(now, &item, actions);
             } else if self.table.join(&item, now.mono, now.wall) == Joined::New {
-                let whole = self.table.item(&item.key()).unwrap_or(item);
-                self.changed(now, &whole, actions);
-                fresh.push(whole);
+                let full = self.table.item(&item.key()).unwrap_or(item);
+                self.on_new_item(now, &full, actions);
+                new_items.push(full);
             }
         }
-        fresh
+        new_items
     }
 
-    /// Follows up on a new item in the table.
-    fn changed(&mut self, now: Now, item: &Item, actions: &mut Vec<Action>) {
+    /// Updates the failure detector for an item new to the table and reports it.
+    fn on_new_item(&mut self, now: Now, item: &Item, actions: &mut Vec<Action>) {
         self.last_change = now.mono;
         match item {
             Item::Member(member) => {
-                self.watch(now, member);
+                self.update_suspicion(now, member);
                 actions.push(Action::MemberChanged(member.clone()));
             }
             Item::Fact(fact) => actions.push(Action::FactLearnt(fact.clone())),
-            // The table gives whole records only.
+            // The table returns full records only.
             Item::Brief(_) => {}
         }
     }
--- a/crates/sycamore-member/src/machine/packet.rs
+++ b/crates/sycamore-member/src/machine/packet.rs
@@ -1,16 +1,17 @@
-//! Datagrams from other nodes.
+//! Processing of datagrams from other nodes.
 
 use super::{Action, Membership, Now};
-use crate::detect::Relayed;
+use crate::detect::RelayedPing;
 use crate::message::{Body, Item, Packet};
 use std::net::SocketAddr;
 use sycamore_types::prelude::*;
 
-/// Bytes of news that ride on a datagram even where the budget is spent.
-const RIDE_BYTES: usize = 150;
+/// Upper bound on the items piggybacked on a datagram when the byte budget is used up, in bytes.
+const MIN_PIGGYBACK_BYTES: usize = 150;
 
 impl Membership {
-    pub(super) fn packet(
+    /// Joins the items of a datagram and answers its request.
+    pub(super) fn on_packet(
         &mut self,
         now: Now,
         from: SocketAddr,
@@ -21,33 +22,34 @@
         if sender == self.me.instance {
             return;
         }
-        self.learn(now, items, from, actions);
+        self.join_and_disseminate(now, items, from, actions);
         match body {
             Body::Ping { seq, digest } => {
-                self.compare(now, &sender, digest);
+                self.record_digest(now, &sender, digest);
                 self.answer_ping(now, from, &sender, seq, actions);
             }
             Body::Ack { seq, digest } => {
-                self.compare(now, &sender, digest);
-                self.acked(now, &sender, seq, actions);
+                self.record_digest(now, &sender, digest);
+                self.on_ack(now, &sender, seq, actions);
             }
             Body::PingRequest { seq, target } => {
                 self.relay_ping(now, from, seq, &target, actions);
             }
-            Body::Nack { seq } => self.nacked(now, &sender, seq, actions),
+            Body::Nack { seq } => self.on_nack(now, &sender, seq, actions),
             Body::Push => {}
         }
     }
 
-    /// Notes that `sender` answered this node, which shows that datagrams pass both ways.
-    fn heard(&mut self, now: Now, sender: &InstanceId, actions: &mut Vec<Action>) {
+    /// Records that `sender` answered this node, which proves connectivity in both directions.
+    fn record_answer(&mut self, now: Now, sender: &InstanceId, actions: &mut Vec<Action>) {
         let Some(member) = self.table.member(sender) else { return };
-        if self.reach.heard(member, now.mono) {
+        if self.reachability.record_answer(member, now.mono) {
             actions.push(Action::ViewChanged);
         }
     }
 
-    /// Acknowledges a ping. A sender that is held for suspect or dead is told so, to refute it.
+    /// Acknowledges a ping. A sender that is suspect or dead in the table receives that record, so
+    /// that it can refute it.
     fn answer_ping(
         &mut self,
         now: Now,
@@ -56,58 +58,60 @@
         seq: u32,
         actions: &mut Vec<Action>,
     ) {
-        let mut items = self.ride_along(now);
-        items.extend(self.doubt_about(sender));
+        let mut items = self.piggybacked_items(now);
+        items.extend(self.suspicion_of(sender));
         let digest = self.table.digest();
         self.send(to, Body::Ack { seq, digest }, items, actions);
         if self.table.member(sender).is_none() {
-            self.meet(now, sender, to, actions);
+            self.exchange_with_unknown(now, sender, to, actions);
         }
     }
 
-    /// Pings `target` for another node.
+    /// Pings `target` on behalf of another node.
     fn relay_ping(
         &mut self,
         now: Now,
-        asker: SocketAddr,
-        asker_seq: u32,
+        requester: SocketAddr,
+        requester_seq: u32,
         target: &InstanceId,
         actions: &mut Vec<Action>,
     ) {
         let Some(to) = self.table.member(target).map(|member| member.endpoints.peer) else {
             return;
         };
-        let seq = self.detector.seq();
-        let relayed = Relayed { sent: now.mono, asker, asker_seq };
-        if self.detector.relay(seq, relayed) {
+        let seq = self.detector.next_seq();
+        let relayed = RelayedPing { sent: now.mono, requester, requester_seq };
+        if self.detector.add_relayed(seq, relayed) {
             let digest = self.table.digest();
             self.send(to, Body::Ping { seq, digest }, Vec::new(), actions);
         }
     }
 
-    fn acked(&mut self, now: Now, sender: &InstanceId, seq: u32, actions: &mut Vec<Action>) {
+    /// Ends the probe or relayed ping that an acknowledgement answers.
+    fn on_ack(&mut self, now: Now, sender: &InstanceId, seq: u32, actions: &mut Vec<Action>) {
         if let Some(probe) = self.detector.probes.remove(&seq) {
-            self.detector.strikes.remove(&probe.target);
+            self.detector.failure_counts.remove(&probe.target);
             if let Some(suspicion) = self.detector.suspects.get_mut(&probe.target) {
                 suspicion.answered = true;
             }
-            self.heard(now, sender, actions);
+            self.record_answer(now, sender, actions);
         }
         if let Some(relayed) = self.detector.relayed.remove(&seq) {
-            let body = Body::Ack { seq: relayed.asker_seq, digest: self.table.digest() };
-            self.send(relayed.asker, body, Vec::new(), actions);
-            self.heard(now, sender, actions);
+            let body = Body::Ack { seq: relayed.requester_seq, digest: self.table.digest() };
+            self.send(relayed.requester, body, Vec::new(), actions);
+            self.record_answer(now, sender, actions);
         }
     }
 
-    fn nacked(&mut self, now: Now, sender: &InstanceId, seq: u32, actions: &mut Vec<Action>) {
+    /// Counts another member's failed ping of the probe's target.
+    fn on_nack(&mut self, now: Now, sender: &InstanceId, seq: u32, actions: &mut Vec<Action>) {
         if let Some(probe) = self.detector.probes.get_mut(&seq) {
             probe.nacks = probe.nacks.saturating_add(1);
-            self.heard(now, sender, actions);
+            self.record_answer(now, sender, actions);
         }
     }
 
-    /// Sends a datagram.
+    /// Adds the action that sends a datagram.
     pub(super) fn send(
         &self,
         to: SocketAddr,
@@ -119,19 +123,20 @@
         actions.push(Action::Send { to, packet });
     }
 
-    /// The record of `instance` where it is held for suspect or dead.
-    pub(super) fn doubt_about(&self, instance: &InstanceId) -> Option<Item> {
-        let doubted = |state| matches!(state, MemberState::Suspect | MemberState::Dead);
-        let member = self.table.member(instance).filter(|member| doubted(member.state));
+    /// Returns the record of `instance` if it is suspect or dead in the table.
+    pub(super) fn suspicion_of(&self, instance: &InstanceId) -> Option<Item> {
+        let is_suspected = |state| matches!(state, MemberState::Suspect | MemberState::Dead);
+        let member = self.table.member(instance).filter(|member| is_suspected(member.state));
         member.cloned().map(Item::Member).map(Item::into_brief)
     }
 
-    /// News to ride on a datagram of the failure detector.
-    pub(super) fn ride_along(&mut self, now: Now) -> Vec<Item> {
-        let Self { news, table, options, budget, .. } = self;
-        let bytes = options.piggyback_bytes.min(budget.left(now.mono).max(RIDE_BYTES));
-        let items = news.take(table, bytes, options.retransmits);
-        budget.spend(items.iter().map(Item::size).sum());
+    /// Takes queued updates to be piggybacked on a failure detector datagram.
+    pub(super) fn piggybacked_items(&mut self, now: Now) -> Vec<Item> {
+        let Self { updates, table, options, budget, .. } = self;
+        let bytes =
+            options.piggyback_bytes.min(budget.available(now.mono).max(MIN_PIGGYBACK_BYTES));
+        let items = updates.take(table, bytes, options.retransmits);
+        budget.take_up_to(items.iter().map(Item::size).sum());
         items
     }
 }
--- a/crates/sycamore-member/src/machine/push.rs
+++ b/crates/sycamore-member/src/machine/push.rs
@@ -1,17 +1,18 @@
-//! News pushed at once to a few members.
+//! Dissemination of new items: immediate pushes to a few members, and queueing for piggybacking.
 
 use super::{Action, Membership, Now};
 use crate::message::{Body, Item};
 use std::net::SocketAddr;
 use sycamore_types::prelude::*;
 
-/// Bytes of items on one pushed datagram; a larger item goes alone.
-const PUSH_BYTES: usize = 1_200;
+/// Upper bound on the items in one pushed datagram, in bytes; a larger item is sent alone.
+const MAX_PUSH_BYTES: usize = 1_200;
 
 impl Membership {
-    /// Spreads new items: all ride along on the failure detector's datagrams; facts, and changes of
-    /// members as far as the budget allows, are pushed at once besides.
-    pub(super) fn spread(
+    /// Disseminates new items. All are queued for piggybacking on the failure detector's datagrams.
+    /// Facts, draining members and, within the byte budget, other member changes are also pushed
+    /// immediately.
+    pub(super) fn disseminate(
         &mut self,
         now: Now,
         items: Vec<Item>,
@@ -19,7 +20,7 @@
         actions: &mut Vec<Action>,
     ) {
         for item in &items {
-            self.news.add(item.key(), self.times_sent(item));
+            self.updates.add(item.key(), self.initial_send_count(item));
         }
         let pushed: Vec<Item> = items
             .into_iter()
@@ -37,8 +38,9 @@
         }
     }
 
-    /// How often `item` counts as sent from the start: a suspicion matters to few.
-    fn times_sent(&self, item: &Item) -> u8 {
+    /// Returns the number of datagrams that `item` counts as already sent on. A suspicion is sent
+    /// less often, because it matters to few nodes.
+    fn initial_send_count(&self, item: &Item) -> u8 {
         match item {
             Item::Member(member) if member.state == MemberState::Suspect => {
                 self.options.retransmits / 2
@@ -47,27 +49,29 @@
         }
     }
 
-    /// Lets items that a comparison of tables brought ride along once: most others have them.
-    pub(super) fn mention(&mut self, items: &[Item]) {
+    /// Queues items received by a table exchange for one datagram: most other nodes have them
+    /// already.
+    pub(super) fn queue_once(&mut self, items: &[Item]) {
         for item in items {
-            self.news.add(item.key(), self.options.retransmits.saturating_sub(1));
+            self.updates.add(item.key(), self.options.retransmits.saturating_sub(1));
         }
     }
 
+    /// Returns whether `item` is pushed immediately, and takes its bytes from the budget.
     fn is_pushed(&mut self, now: Now, item: &Item) -> bool {
         match item {
             Item::Fact(_) => true,
             Item::Member(member) if member.state == MemberState::Draining => true,
-            // A suspicion may yet be refuted.
+            // A suspicion may still be refuted, so it isn't urgent.
             Item::Brief(brief) if brief.state == MemberState::Suspect => false,
             Item::Member(_) | Item::Brief(_) => {
-                self.budget.take(item.size() * self.options.fanout, now.mono)
+                self.budget.try_take(item.size() * self.options.fanout, now.mono)
             }
         }
     }
 
-    /// Members to push to: most in this data centre, so that little crosses between them, and some
-    /// elsewhere.
+    /// Returns the addresses of members to push to, except `source`: mostly in this data centre, to
+    /// limit traffic between data centres, and [`crate::Options::remote_fanout`] outside.
     fn push_targets(&mut self, source: Option<SocketAddr>) -> Vec<SocketAddr> {
         let (near, far): (Vec<_>, Vec<_>) = self
             .table
@@ -84,18 +88,19 @@
     }
 }
 
+/// Splits `items` into batches that fit into one datagram each.
 fn batches(items: Vec<Item>) -> Vec<Vec<Item>> {
     let mut batches: Vec<Vec<Item>> = Vec::new();
-    let mut left = 0;
+    let mut bytes_left = 0;
     for item in items {
         let size = item.size();
         match batches.last_mut() {
-            Some(batch) if size <= left => {
-                left -= size;
+            Some(batch) if size <= bytes_left => {
+                bytes_left -= size;
                 batch.push(item);
             }
             _ => {
-                left = PUSH_BYTES.saturating_sub(size);
+                bytes_left = MAX_PUSH_BYTES.saturating_sub(size);
                 batches.push(vec![item]);
             }
         }
--- a/crates/sycamore-member/src/machine/suspect.rs
+++ b/crates/sycamore-member/src/machine/suspect.rs
@@ -1,4 +1,4 @@
-//! Suspicion and death.
+//! Suspicion of members, and their declaration as dead.
 
 use super::{Action, Membership, Now};
 use crate::detect::Suspicion;
@@ -6,16 +6,21 @@
 use crate::table::Joined;
 use sycamore_types::prelude::*;
 
-/// Other members that a data centre must have for its silence to mean a cut.
+/// Number of other members in a data centre from which one of them must have answered to rule out a
+/// network partition. With fewer, an answer from any data centre is enough.
 const MIN_WITNESSES: usize = 2;
-/// Strikes kept for members at most; beyond, members are only probed in their turn.
-const MAX_STRIKES: usize = 256;
+/// Upper bound on members with failed probes that are counted. Beyond it all counts are reset, and
+/// members are probed in their regular order.
+const MAX_FAILURE_COUNTS: usize = 256;
 
 impl Membership {
-    /// Whether something was heard since `since` that shows that `member`'s silence is its own and
-    /// not a cut between its data centre and this node: another member of its data centre or,
-    /// where it has none, of any, or another's failed probe.
-    pub(super) fn has_witness(&self, member: &Member, since: Time, nacks: u8) -> bool {
+    /// Returns whether an answer since `since` rules out that `member` is silent because of a
+    /// network partition between its data centre and this node.
+    ///
+    /// With at least [`MIN_WITNESSES`] other members in the data centre, one of them must have
+    /// answered. With fewer, an answer from any member or a negative acknowledgement (`nacks`) is
+    /// enough. Without any other member, a partition counts as ruled out.
+    pub(super) fn rules_out_partition(&self, member: &Member, since: Time, nacks: u8) -> bool {
         let others = self.table.members().filter(|other| {
             other.state != MemberState::Dead
                 && other.instance != member.instance
@@ -23,43 +28,43 @@
         });
         let (near, far): (Vec<&Member>, Vec<&Member>) =
             others.partition(|other| other.data_centre == member.data_centre);
-        let heard = |other: &&Member| self.reach.heard_since(&other.instance, since);
+        let answered = |other: &&Member| self.reachability.answered_since(&other.instance, since);
         if near.len() >= MIN_WITNESSES {
-            return near.iter().any(heard);
+            return near.iter().any(answered);
         }
-        let alone = near.is_empty() && far.is_empty();
-        alone || nacks > 0 || near.iter().any(heard) || far.iter().any(heard)
+        let is_alone = near.is_empty() && far.is_empty();
+        is_alone || nacks > 0 || near.iter().any(answered) || far.iter().any(answered)
     }
 
-    /// Takes `member` for suspect and spreads that.
+    /// Declares `member` suspect, or continues a suspicion that another node declared.
     pub(super) fn suspect(&mut self, now: Now, member: Member, actions: &mut Vec<Action>) {
         if member.state >= MemberState::Suspect {
-            self.watch_suspect(now, &member);
+            self.start_suspicion(now, &member);
             return;
         }
         self.declare(now, Member { state: MemberState::Suspect, ..member }, actions);
     }
 
-    /// Keeps and spreads this node's own verdict on a member.
+    /// Stores and disseminates a member state that this node declares.
     fn declare(&mut self, now: Now, member: Member, actions: &mut Vec<Action>) {
         let record = Item::Member(member.clone());
         if self.table.join(&record, now.mono, now.wall) == Joined::New {
             actions.push(Action::Judged(member));
-            self.changed(now, &record, actions);
-            self.spread(now, vec![record], None, actions);
+            self.on_new_item(now, &record, actions);
+            self.disseminate(now, vec![record], None, actions);
         }
     }
 
-    /// Follows up on a changed member: suspects are watched, others no longer.
-    pub(super) fn watch(&mut self, now: Now, member: &Member) {
+    /// Starts or ends the suspicion of a member after a change of its record.
+    pub(super) fn update_suspicion(&mut self, now: Now, member: &Member) {
         match member.state {
             MemberState::Suspect if member.instance != self.me.instance => {
-                self.watch_suspect(now, member);
+                self.start_suspicion(now, member);
             }
             MemberState::Dead => {
                 self.detector.suspects.remove(&member.instance);
-                self.detector.strikes.remove(&member.instance);
-                self.reach.forget(&member.instance);
+                self.detector.failure_counts.remove(&member.instance);
+                self.reachability.remove(&member.instance);
             }
             _ => {
                 self.detector.suspects.remove(&member.instance);
@@ -67,16 +72,17 @@
         }
     }
 
-    fn watch_suspect(&mut self, now: Now, member: &Member) {
+    /// Starts the suspicion timeout of `member`, unless it is already running.
+    fn start_suspicion(&mut self, now: Now, member: &Member) {
         let deadline = now.mono + self.options.suspicion;
         let suspicion = Suspicion { since: now.mono, deadline, answered: false };
         self.detector.suspects.entry(member.instance.clone()).or_insert(suspicion);
     }
 
-    /// Takes suspects for dead whose time is up.
-    pub(super) fn judge_suspects(&mut self, now: Now, actions: &mut Vec<Action>) {
-        if self.detector.strikes.len() > MAX_STRIKES {
-            self.detector.strikes.clear();
+    /// Resolves the suspicions whose deadline has passed.
+    pub(super) fn resolve_suspicions(&mut self, now: Now, actions: &mut Vec<Action>) {
+        if self.detector.failure_counts.len() > MAX_FAILURE_COUNTS {
+            self.detector.failure_counts.clear();
         }
         let due: Vec<InstanceId> = self
             .detector
@@ -86,18 +92,19 @@
             .map(|(instance, _)| instance.clone())
             .collect();
         for instance in due {
-            self.judge(now, &instance, actions);
+            self.resolve_suspicion(now, &instance, actions);
         }
     }
 
-    fn judge(&mut self, now: Now, instance: &InstanceId, actions: &mut Vec<Action>) {
+    /// Declares a suspect dead, unless it has answered or a network partition isn't ruled out.
+    fn resolve_suspicion(&mut self, now: Now, instance: &InstanceId, actions: &mut Vec<Action>) {
         let Some(suspicion) = self.detector.suspects.remove(instance) else { return };
         let Some(member) = self.table.member(instance).cloned() else { return };
         if suspicion.answered {
             return;
         }
-        if !self.has_witness(&member, suspicion.since, 0) {
-            // Its data centre may be cut off: ask again later.
+        if !self.rules_out_partition(&member, suspicion.since, 0) {
+            // Its data centre may be partitioned: the suspicion is extended.
             let deadline = now.mono + self.options.suspicion;
             self.detector.suspects.insert(instance.clone(), Suspicion { deadline, ..suspicion });
             return;
--- a/crates/sycamore-member/src/message.rs
+++ b/crates/sycamore-member/src/message.rs
@@ -1,42 +1,42 @@
-//! Messages that membership machines of different nodes send to each other.
+//! Messages between the membership state machines of different nodes.
 
 use std::net::SocketAddr;
 use sycamore_types::prelude::*;
 
-/// A member or a fact: what tables hold and messages carry.
+/// Entry of a membership table, as carried by messages.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Item {
-    /// A member as its highest known incarnation.
+    /// Record of a member at its highest known incarnation.
     Member(Member),
-    /// A spread fact.
+    /// Fact that is disseminated to all nodes.
     Fact(Fact),
-    /// A member's state alone. A node that knows the member fills in the rest; others ignore it,
-    /// and learn the whole record when they compare tables.
+    /// State of a member without the rest of its record. A node that has a record of the member
+    /// updates it; others ignore the item and receive the record by a table exchange.
     Brief(Brief),
 }
 
-/// The state of a member, without what it is.
+/// State of a member without the rest of its record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Brief {
-    /// The instance.
+    /// Instance of the member.
     pub instance: InstanceId,
-    /// Its generation.
+    /// Incarnation that the state belongs to.
     pub incarnation: Incarnation,
-    /// What it is doing.
+    /// State of the member in that incarnation.
     pub state: MemberState,
 }
 
-/// What an item is about.
+/// Key of an item in a membership table.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ItemKey {
-    /// A member.
+    /// Key of a member record.
     Member(InstanceId),
-    /// A fact.
+    /// Key of a fact.
     Fact(FactKey),
 }
 
 impl Item {
-    /// What the item is about.
+    /// Returns the table key of the item.
     pub fn key(&self) -> ItemKey {
         match self {
             Item::Member(member) => ItemKey::Member(member.instance.clone()),
@@ -45,8 +45,8 @@
         }
     }
 
-    /// The item as datagrams carry it: only the state of a member that is suspect or dead, since
-    /// many may be at once.
+    /// Returns the item as datagrams carry it: suspect and dead members, of which there may be many
+    /// at once, are shortened to their state.
     #[must_use]
     pub fn into_brief(self) -> Self {
         match self {
@@ -59,11 +59,11 @@
         }
     }
 
-    /// An upper estimate of the encoded size, in bytes.
+    /// Returns an upper estimate of the encoded size, in bytes.
     pub fn size(&self) -> usize {
-        /// Tags, lengths and numbers of one item.
+        /// Size of the tags, lengths and numbers of a member or fact.
         const FRAME_BYTES: usize = 56;
-        /// The same of a brief one.
+        /// Size of the tags, lengths and numbers of a [`Brief`].
         const BRIEF_FRAME_BYTES: usize = 20;
         match self {
             Item::Member(member) => FRAME_BYTES + member_bytes(member),
@@ -73,6 +73,7 @@
     }
 }
 
+/// Returns the size of the strings and addresses of `member`, in bytes.
 fn member_bytes(member: &Member) -> usize {
     let ip_bytes = |address: SocketAddr| if address.is_ipv4() { 4 } else { 16 };
     member.instance.as_str().len()
@@ -84,6 +85,7 @@
         + ip_bytes(member.endpoints.relay)
 }
 
+/// Returns the size of the strings of `fact`, in bytes.
 fn fact_text_bytes(fact: &Fact) -> usize {
     match fact {
         Fact::BadVersion { service, version, by, reason, .. } => {
@@ -98,12 +100,12 @@
     }
 }
 
-/// What a table holds in short: equal tables have equal digests.
+/// Digests of a table's content; equal tables have equal digests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Digest {
-    /// Of the members.
+    /// Digest of the members that are not dead.
     pub members: u32,
-    /// Of the facts.
+    /// Digest of the facts.
     pub facts: u32,
 }
 
@@ -119,80 +121,80 @@
     }
 }
 
-/// What a comparison of tables is about.
+/// Part of the table that an exchange compares.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub enum Scope {
-    /// Members and facts.
+    /// Compares members and facts.
     #[default]
     All,
-    /// Facts only: few, and each matters to every node at once.
+    /// Compares facts only, which are few and urgent for every node.
     Facts,
 }
 
-/// What a datagram is for.
+/// Type of a datagram, with its parameters.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Body {
-    /// Asks for an [`Body::Ack`].
+    /// Requests a [`Body::Ack`].
     Ping {
-        /// Chosen by the asking node, repeated in the answer.
+        /// Sequence number chosen by the sender, repeated in the answer.
         seq: u32,
-        /// Digest of the sender's table.
+        /// Digest of the sender's membership table.
         digest: Digest,
     },
-    /// Answers a [`Body::Ping`], or a [`Body::PingRequest`] whose target answered.
+    /// Answers a [`Body::Ping`], or a [`Body::PingRequest`] whose target has answered.
     Ack {
-        /// The ping's number.
+        /// Sequence number of the answered ping or ping request.
         seq: u32,
-        /// Digest of the sender's table.
+        /// Digest of the sender's membership table.
         digest: Digest,
     },
-    /// Asks the receiver to ping `target` and to tell the result.
+    /// Requests that the receiver pings `target` and reports the result.
     PingRequest {
-        /// Chosen by the asking node, repeated in the answer.
+        /// Sequence number chosen by the sender, repeated in the answer.
         seq: u32,
-        /// The instance to ping.
+        /// Instance to ping.
         target: InstanceId,
     },
     /// Answers a [`Body::PingRequest`] whose target did not answer in time.
     Nack {
-        /// The request's number.
+        /// Sequence number of the answered ping request.
         seq: u32,
     },
-    /// Carries items only.
+    /// Carries items without a request or an answer.
     Push,
 }
 
-/// One datagram between nodes.
+/// Datagram between nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Packet {
-    /// The sending instance.
+    /// Instance that sends the datagram.
     pub from: InstanceId,
-    /// What the datagram is for.
+    /// Request, answer or push in the datagram.
     pub body: Body,
-    /// News.
+    /// Pushed or piggybacked items.
     pub items: Vec<Item>,
 }
 
-/// Compares tables bucket by bucket, offers items, or both.
+/// Request of a table exchange: compares tables bucket by bucket, offers items, or both.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct ExchangeRequest {
-    /// Digest of each bucket of the caller's table; empty where items are only offered.
+    /// Digest of each bucket of the sender's table; empty if items are only offered.
     pub buckets: Vec<u32>,
-    /// The bucket to compare first.
+    /// Index of the bucket to compare first.
     pub first: u32,
-    /// Items offered.
+    /// Items offered to the receiver.
     pub items: Vec<Item>,
-    /// What is compared.
+    /// Part of the table that is compared.
     pub scope: Scope,
 }
 
-/// Answers an [`ExchangeRequest`].
+/// Reply to an [`ExchangeRequest`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct ExchangeReply {
-    /// Buckets that differ and whose items are all given.
+    /// Indices of differing buckets that the reply covers completely.
     pub differing: Vec<u32>,
-    /// The items of those buckets.
+    /// Items of those buckets.
     pub items: Vec<Item>,
-    /// The bucket to go on from, where not all that differ fitted.
+    /// Index of the bucket to continue with; `None` if all differing buckets fitted.
     pub next: Option<u32>,
 }
--- a/crates/sycamore-member/src/options.rs
+++ b/crates/sycamore-member/src/options.rs
@@ -1,45 +1,46 @@
-//! Settings of the machine.
+//! Tuning parameters of the membership protocol.
 
 use std::time::Duration;
 
-/// Settings of [`crate::Membership`].
+/// Tuning parameters of [`crate::Membership`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// Time between two probes.
+    /// Interval between probes started by one node.
     pub probe_interval: Duration,
-    /// Time that a probed member has to answer, before others are asked to probe it.
+    /// Timeout of a direct probe, after which other members are asked to probe the target.
     pub probe_timeout: Duration,
-    /// Time that a suspect has to refute, before it is taken for dead.
+    /// Time that a suspected member has to refute the suspicion before it is declared dead.
     pub suspicion: Duration,
-    /// Members asked to probe one that did not answer.
+    /// Number of members asked to probe a target that did not answer.
     pub helpers: usize,
-    /// Members that news is pushed to at once.
+    /// Number of members that a new item is pushed to.
     pub fanout: usize,
-    /// How many of [`Options::fanout`] are chosen outside the node's own data centre.
+    /// Number of members among [`Options::fanout`] chosen outside the node's own data centre.
     pub remote_fanout: usize,
-    /// Datagrams of the failure detector that each piece of news rides on.
+    /// Number of failure detector datagrams that each update is piggybacked on.
     pub retransmits: u8,
-    /// Bytes of news on one datagram of the failure detector.
+    /// Upper bound on piggybacked items per failure detector datagram, in bytes.
     pub piggyback_bytes: usize,
-    /// Bytes of news about members per second; facts and drains are not held back.
+    /// Sustained rate of pushed and piggybacked items, in bytes per second. Pushes of facts and of
+    /// draining members are exempt.
     pub push_bytes_per_s: usize,
-    /// Bytes of news about members that may be sent at once.
+    /// Upper bound on the unused part of [`Options::push_bytes_per_s`] that accumulates, in bytes.
     pub push_burst_bytes: usize,
-    /// Least time between two comparisons of tables that this node starts; as much again is added
-    /// at random.
+    /// Lower bound on the time between two table exchanges started by one node; a random part of up
+    /// to the same time is added.
     pub exchange_interval: Duration,
-    /// Time without news after which different digests are taken for a lasting difference.
-    pub quiet: Duration,
-    /// Time after which different digests are acted on, news or not.
-    pub patience: Duration,
-    /// Bytes of items in one exchange message.
+    /// Time without a change after which differing digests are treated as a lasting difference.
+    pub settle_time: Duration,
+    /// Time after which differing digests start a table exchange even if the table still changes.
+    pub max_mismatch_time: Duration,
+    /// Upper bound on the items in one exchange message, in bytes; the first bucket may exceed it.
     pub exchange_bytes: usize,
-    /// Time that dead members are remembered. It must exceed the longest cut between regions, or
-    /// an old record could bring a dead incarnation back.
+    /// Time for which records of dead members are kept. It must exceed the longest network
+    /// partition between regions, or an outdated record could revive a dead incarnation.
     pub dead_retention: Duration,
-    /// Members remembered, dead ones included.
+    /// Upper bound on member records, including dead members.
     pub max_members: usize,
-    /// Facts of each kind remembered.
+    /// Upper bound on facts of each kind.
     pub max_facts: usize,
 }
 
@@ -57,8 +58,8 @@
             push_bytes_per_s: 256,
             push_burst_bytes: 8 << 10,
             exchange_interval: Duration::from_secs(10),
-            quiet: Duration::from_secs(2),
-            patience: Duration::from_secs(10),
+            settle_time: Duration::from_secs(2),
+            max_mismatch_time: Duration::from_secs(10),
             exchange_bytes: 8 << 10,
             dead_retention: Duration::from_secs(24 * 3_600),
             max_members: 4_096,
--- a/crates/sycamore-member/src/spread/mod.rs
+++ b/crates/sycamore-member/src/spread/mod.rs
@@ -1,106 +1,110 @@
-//! Dissemination: news that rides on the failure detector's datagrams, and the budget of pushes.
+//! Dissemination: the queue of updates piggybacked on the failure detector's datagrams, and the
+//! byte budget of pushes.
 
 use crate::message::{Item, ItemKey};
 use crate::table::Table;
 use std::collections::BTreeMap;
 use sycamore_types::prelude::*;
 
-/// News kept for riding along; where there is more, what was sent most often is dropped, and the
-/// comparison of tables makes up for it.
-const MAX_NEWS: usize = 256;
+/// Upper bound on queued updates. Beyond it the update sent most often is dropped; nodes that miss
+/// it receive it by a table exchange.
+const MAX_QUEUED_UPDATES: usize = 256;
 
-/// What is still to be sent along, with how often each was sent.
+/// Keys of updates to be piggybacked, each with the number of datagrams that carried it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub(crate) struct News {
-    sent: BTreeMap<ItemKey, u8>,
+pub(crate) struct UpdateQueue {
+    send_counts: BTreeMap<ItemKey, u8>,
 }
 
-impl News {
-    /// Queues the item called `key` as if it had been sent `sent` times; one queued already starts
-    /// over.
+impl UpdateQueue {
+    /// Queues the item with `key` as if `sent` datagrams had carried it; replaces the count of an
+    /// item that is already queued.
     pub(crate) fn add(&mut self, key: ItemKey, sent: u8) {
-        self.sent.insert(key, sent);
-        if self.sent.len() > MAX_NEWS {
-            let oldest =
-                self.sent.iter().max_by_key(|(_, sent)| **sent).map(|(key, _)| key.clone());
-            if let Some(key) = oldest {
-                self.sent.remove(&key);
+        self.send_counts.insert(key, sent);
+        if self.send_counts.len() > MAX_QUEUED_UPDATES {
+            let most_sent =
+                self.send_counts.iter().max_by_key(|(_, sent)| **sent).map(|(key, _)| key.clone());
+            if let Some(key) = most_sent {
+                self.send_counts.remove(&key);
             }
         }
     }
 
-    /// Items to ride on one datagram: the least sent first, up to `bytes` in all. Each is given
-    /// `retransmits` times.
+    /// Returns the items for one datagram, least sent first, up to `bytes` in total. An item is
+    /// removed from the queue once it was returned `retransmits` times.
     pub(crate) fn take(&mut self, table: &Table, bytes: usize, retransmits: u8) -> Vec<Item> {
         let mut order: Vec<(u8, ItemKey)> =
-            self.sent.iter().map(|(key, sent)| (*sent, key.clone())).collect();
+            self.send_counts.iter().map(|(key, sent)| (*sent, key.clone())).collect();
         order.sort();
         let mut left = bytes;
         let mut items = Vec::new();
         for (sent, key) in order {
             let Some(item) = table.item(&key).map(Item::into_brief) else {
-                self.sent.remove(&key);
+                self.send_counts.remove(&key);
                 continue;
             };
             let Some(rest) = left.checked_sub(item.size()) else { continue };
             left = rest;
             items.push(item);
-            self.count(key, sent + 1, retransmits);
+            self.set_count(key, sent + 1, retransmits);
         }
         items
     }
 
-    fn count(&mut self, key: ItemKey, sent: u8, retransmits: u8) {
+    /// Sets the number of datagrams that carried an item, or removes it at `retransmits`.
+    fn set_count(&mut self, key: ItemKey, sent: u8, retransmits: u8) {
         if sent >= retransmits {
-            self.sent.remove(&key);
+            self.send_counts.remove(&key);
         } else {
-            self.sent.insert(key, sent);
+            self.send_counts.insert(key, sent);
         }
     }
 }
 
-/// A budget of bytes that grows with time.
+/// Token bucket that limits bytes per second.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct ByteBudget {
-    per_s: usize,
-    burst: usize,
-    left: usize,
-    filled: Time,
+    bytes_per_s: usize,
+    burst_bytes: usize,
+    available: usize,
+    last_refill: Time,
 }
 
 impl ByteBudget {
-    pub(crate) fn new(per_s: usize, burst: usize) -> Self {
-        Self { per_s, burst, left: burst, filled: Time::default() }
+    /// Creates a full bucket of `burst_bytes`.
+    pub(crate) fn new(bytes_per_s: usize, burst_bytes: usize) -> Self {
+        Self { bytes_per_s, burst_bytes, available: burst_bytes, last_refill: Time::default() }
     }
 
-    /// Takes `bytes`, or nothing where they are not there.
-    pub(crate) fn take(&mut self, bytes: usize, now: Time) -> bool {
-        self.fill(now);
-        match self.left.checked_sub(bytes) {
-            Some(left) => {
-                self.left = left;
+    /// Takes `bytes` if that many are available; returns whether they were.
+    pub(crate) fn try_take(&mut self, bytes: usize, now: Time) -> bool {
+        self.refill(now);
+        match self.available.checked_sub(bytes) {
+            Some(rest) => {
+                self.available = rest;
                 true
             }
             None => false,
         }
     }
 
-    /// What is there.
-    pub(crate) fn left(&mut self, now: Time) -> usize {
-        self.fill(now);
-        self.left
+    /// Returns the bytes available at `now`.
+    pub(crate) fn available(&mut self, now: Time) -> usize {
+        self.refill(now);
+        self.available
     }
 
-    /// Takes `bytes`, or all where there are fewer.
-    pub(crate) fn spend(&mut self, bytes: usize) {
-        self.left = self.left.saturating_sub(bytes);
+    /// Takes `bytes`, or all available bytes if there are fewer.
+    pub(crate) fn take_up_to(&mut self, bytes: usize) {
+        self.available = self.available.saturating_sub(bytes);
     }
 
-    fn fill(&mut self, now: Time) {
-        let gained = now.since(self.filled).as_millis() as usize * self.per_s / 1_000;
+    /// Adds the bytes accumulated since the last refill, up to the burst size.
+    fn refill(&mut self, now: Time) {
+        let gained = now.since(self.last_refill).as_millis() as usize * self.bytes_per_s / 1_000;
         if gained > 0 {
-            self.left = (self.left + gained).min(self.burst);
-            self.filled = now;
+            self.available = (self.available + gained).min(self.burst_bytes);
+            self.last_refill = now;
         }
     }
 }
--- a/crates/sycamore-member/src/table/digest.rs
+++ b/crates/sycamore-member/src/table/digest.rs
@@ -1,25 +1,26 @@
-//! Digests of items and of tables. They only tell whether a comparison is worth its bytes: where
-//! they differ between two builds of the program, nodes compare more often than they need to.
+//! Digests of items and tables, which decide whether a table exchange is worthwhile. If two builds
+//! of the program compute different digests, nodes only exchange tables more often than necessary.
 
 use super::BUCKETS;
 use crate::message::{Item, ItemKey};
 use std::hash::{Hash, Hasher};
 
-/// 64-bit FNV-1a (Fowler, Noll, Vo), with numbers in little-endian order on every machine.
+/// 64-bit FNV-1a hasher (Fowler, Noll, Vo) that hashes numbers in little-endian order on every
+/// machine.
 struct Fnv(u64);
 
-const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-const PRIME: u64 = 0x0000_0100_0000_01b3;
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 impl Hasher for Fnv {
     fn finish(&self) -> u64 {
-        // FNV-1a mixes its last bytes poorly into the low bits.
+        // FNV-1a mixes the last input bytes poorly into the low bits.
         self.0 ^ (self.0 >> 32)
     }
 
     fn write(&mut self, bytes: &[u8]) {
         for byte in bytes {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(PRIME);
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
         }
     }
 
@@ -41,22 +42,22 @@
 }
 
 fn hash(value: &impl Hash) -> u64 {
-    let mut fnv = Fnv(OFFSET);
+    let mut fnv = Fnv(FNV_OFFSET_BASIS);
     value.hash(&mut fnv);
     fnv.finish()
 }
 
-/// The bucket that the item called `key` belongs to.
+/// Returns the index of the bucket for the item with `key`.
 pub(super) fn bucket_of(key: &ItemKey) -> usize {
     (hash(key) % BUCKETS as u64) as usize
 }
 
-/// The digest of one item.
+/// Returns the digest of one item.
 pub(super) fn item_digest(item: &Item) -> u32 {
     hash(item) as u32
 }
 
-/// The digest of all buckets together.
+/// Returns the digest of all buckets.
 pub(super) fn digest_of(buckets: &[u32]) -> u32 {
     hash(&buckets) as u32
 }
--- a/crates/sycamore-member/src/table/order.rs
+++ b/crates/sycamore-member/src/table/order.rs
@@ -1,14 +1,17 @@
-//! Which of two records about the same thing stays.
+//! Total orders of member records and of facts, by which tables resolve conflicts and evict facts.
 
 use sycamore_types::prelude::*;
 
-/// Whether `new` replaces `old`, records of the same instance: a higher incarnation does, within
-/// one incarnation a worse state does, and ties are broken the same way everywhere.
+/// Returns whether `new` replaces `old`, a record of the same instance.
+///
+/// A higher incarnation replaces a lower one, and within one incarnation a worse state replaces a
+/// better one. The remaining fields break ties in the same way on every node.
 pub fn supersedes(new: &Member, old: &Member) -> bool {
-    key(new) > key(old)
+    precedence(new) > precedence(old)
 }
 
-fn key(member: &Member) -> impl Ord + '_ {
+/// Returns the sort key of a member record; the higher one replaces the other.
+fn precedence(member: &Member) -> impl Ord + '_ {
     (
         (member.incarnation, member.state),
         (&member.service, &member.version),
@@ -18,7 +21,7 @@
     )
 }
 
-/// Where a fact ranks within its kind; the lowest are forgotten first.
+/// Returns the rank of a fact within its kind; the lowest-ranked facts are evicted first.
 pub(super) fn rank(fact: &Fact) -> (u64, FactKey) {
     let time = match fact {
         Fact::BadVersion { at, .. } | Fact::Aborted { at, .. } => at.wall.0,
--- a/crates/sycamore-member/tests/common/mod.rs
+++ b/crates/sycamore-member/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Machines joined by a network with faked time: latency, loss, cuts, pauses and deaths.
+//! Simulated network of membership state machines with virtual time, latency, datagram loss,
+//! partitions, paused processes and crashes.
 #![allow(clippy::unwrap_used, dead_code, missing_docs)]
 
 use std::cmp::Reverse;
@@ -10,16 +11,21 @@
 use sycamore_peer::codec;
 use sycamore_types::prelude::*;
 
-/// Civil time at the network's start.
+/// Wall clock time at the start of the simulation.
 pub const EPOCH: WallTime = WallTime(1_800_000_000_000);
+/// Interval between ticks of each state machine.
 const TICK: Duration = Duration::from_millis(100);
-/// Bytes above TCP of a call on a new connection without its messages, as `sycamore-peer` prints.
-const CALL_BYTES: u64 = 356;
+/// Bytes above TCP of a call on a new connection without its messages, as measured and printed by
+/// the tests of `sycamore-peer`.
+const CALL_OVERHEAD_BYTES: u64 = 356;
+/// Bytes of the IP and UDP headers of one datagram.
 const DATAGRAM_HEADER_BYTES: u64 = 28;
+/// Time after which a call to an unreachable node fails.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct At(Time, u64);
+/// Time and identifier of a scheduled event.
+struct ScheduledAt(Time, u64);
 
 enum Event {
     Tick(usize),
@@ -28,31 +34,35 @@
     Reply { from: usize, to: usize, reply: Option<ExchangeReply> },
 }
 
-/// One machine in the network.
+/// Simulated node.
 pub struct Peer {
     pub machine: Membership,
     pub alive: bool,
-    /// Nothing happens to it before this time.
+    /// Time at which a paused process resumes; its events are delayed until then.
     pub frozen_until: Time,
-    /// Clock offset of its civil time, in milliseconds.
+    /// Offset of the node's wall clock, in milliseconds.
     pub skew_ms: i64,
     pub bytes_out: u64,
     pub bytes_in: u64,
+    /// Time at which the node first learned each fact.
     pub learnt: BTreeMap<FactKey, Time>,
+    /// Changed member records with the time of each change.
     pub changes: Vec<(Time, Member)>,
     started: Time,
 }
 
+/// Simulated network of nodes.
 pub struct Net {
     pub peers: Vec<Peer>,
     pub now: Time,
-    /// Loss of datagrams, in thousandths.
+    /// Probability that a datagram is lost, in thousandths.
     pub loss: u64,
-    /// Whether datagrams and calls pass from one data centre to another.
+    /// Pairs of sending and receiving data centres between which nothing is delivered.
     pub cuts: Vec<(DataCentre, DataCentre)>,
+    /// Pairs of sending and receiving nodes between which nothing is delivered.
     pub cut_links: Vec<(usize, usize)>,
     pub options: Options,
-    events: BinaryHeap<Reverse<At>>,
+    events: BinaryHeap<Reverse<ScheduledAt>>,
     payloads: BTreeMap<u64, Event>,
     next_event: u64,
     seed: u64,
@@ -72,7 +82,8 @@
     }
 }
 
-/// Member `i` of a fleet over `centres` data centres, three to a region, 51 services.
+/// Returns the record of member `i` in a fleet of `centres` data centres, three per region, with 51
+/// services.
 pub fn member(i: usize, centres: usize, incarnation: u64) -> Member {
     let centre = i % centres;
     Member {
@@ -89,7 +100,7 @@
 }
 
 impl Net {
-    /// A fleet that knows itself.
+    /// Creates a fleet in which every node knows all members and is synced.
     pub fn new(nodes: usize, centres: usize, seed: u64, options: Options) -> Self {
         let members: Vec<Member> = (0..nodes).map(|i| member(i, centres, EPOCH.0)).collect();
         let mut net = Self {
@@ -109,7 +120,7 @@
         }
         for i in 0..nodes {
             net.peers[i].machine.step(net_now(Time::default(), 0), Input::Rows(members.clone()));
-            // The table is whole: an empty answer ends the first comparison.
+            // The table is complete, so an empty reply ends the first exchange.
             for other in &members {
                 let peer = other.instance.clone();
                 let reply = Some(ExchangeReply::default());
@@ -124,7 +135,7 @@
         net
     }
 
-    /// Adds a machine that knows nobody.
+    /// Adds a node that knows no other member.
     pub fn add(&mut self, me: Member, started: Time) -> usize {
         let i = self.peers.len();
         let machine = self.machine(me, i, started);
@@ -153,11 +164,12 @@
         self.peers[i].machine.me().instance.clone()
     }
 
+    /// Crashes a node.
     pub fn kill(&mut self, i: usize) {
         self.peers[i].alive = false;
     }
 
-    /// Replaces a machine by one that knows only `contacts` from the platform's table.
+    /// Restarts a node with an empty table; it reads `contacts` from the platform's table.
     pub fn restart(&mut self, i: usize, contacts: &[usize]) {
         let old = self.peers[i].machine.me().clone();
         let rows = contacts.iter().map(|c| self.peers[*c].machine.me().clone()).collect();
@@ -169,48 +181,52 @@
         self.input(i, Input::Rows(rows));
     }
 
+    /// Pauses the process of a node for `time`.
     pub fn freeze(&mut self, i: usize, time: Duration) {
         self.peers[i].frozen_until = self.now + time;
     }
 
+    /// Lets a node publish a fact.
     pub fn raise(&mut self, i: usize, fact: Fact) {
         self.peers[i].learnt.insert(fact.key(), self.now);
         self.input(i, Input::Raise(fact));
     }
 
+    /// Changes the state of a node's own member.
     pub fn local(&mut self, i: usize, state: LocalState) {
         self.input(i, Input::Local(state));
     }
 
-    /// Runs for `time`.
+    /// Runs the simulation for `time`.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
-        while let Some(Reverse(At(at, id))) = self.events.peek().cloned() {
+        while let Some(Reverse(ScheduledAt(at, id))) = self.events.peek().cloned() {
             if at > end {
                 break;
             }
             self.events.pop();
             self.now = at;
             let event = self.payloads.remove(&id).unwrap();
-            self.happen(event);
+            self.process_event(event);
         }
         self.now = end;
     }
 
-    /// What node `i` shows of node `j`; `None` where it is dead or unknown.
-    pub fn shown(&self, i: usize, j: usize) -> Option<MemberState> {
+    /// Returns the state of node `j` in the view of node `i`; `None` if it is dead or unknown.
+    pub fn view_state(&self, i: usize, j: usize) -> Option<MemberState> {
         let view = self.peers[i].machine.view();
         view.members.get(&self.id(j)).map(|member| member.state)
     }
 
-    /// How many live nodes show node `j` in each state.
-    pub fn opinions(&self, j: usize) -> BTreeMap<Option<MemberState>, usize> {
-        let mut opinions = BTreeMap::new();
+    /// Returns how many live nodes have node `j` in each state; `None` counts nodes without a
+    /// record.
+    pub fn state_counts(&self, j: usize) -> BTreeMap<Option<MemberState>, usize> {
+        let mut counts = BTreeMap::new();
         for i in (0..self.peers.len()).filter(|i| self.peers[*i].alive && *i != j) {
             let member = self.peers[i].machine.table().member(&self.id(j));
-            *opinions.entry(member.map(|member| member.state)).or_default() += 1;
+            *counts.entry(member.map(|member| member.state)).or_default() += 1;
         }
-        opinions
+        counts
     }
 
     pub fn reset_bytes(&mut self) {
@@ -219,7 +235,7 @@
         }
     }
 
-    /// Bytes in and out of live nodes: mean and highest.
+    /// Returns the mean and the highest number of bytes sent and received by live nodes.
     pub fn bytes(&self) -> (f64, u64) {
         let totals: Vec<u64> =
             self.peers.iter().filter(|p| p.alive).map(|p| p.bytes_in + p.bytes_out).collect();
@@ -227,7 +243,8 @@
         (mean, totals.into_iter().max().unwrap_or(0))
     }
 
-    /// Times from `since` until live nodes knew the fact called `key`, sorted; and who doesn't.
+    /// Returns the sorted times from `since` until live nodes learned the fact with `key`, and the
+    /// number of live nodes without it.
     pub fn reached(&self, key: &FactKey, since: Time) -> (Vec<Duration>, usize) {
         let live: Vec<&Peer> = self.peers.iter().filter(|p| p.alive).collect();
         let mut times: Vec<Duration> =
@@ -240,7 +257,7 @@
     fn schedule(&mut self, at: Time, event: Event) {
         self.next_event += 1;
         self.payloads.insert(self.next_event, event);
-        self.events.push(Reverse(At(at, self.next_event)));
+        self.events.push(Reverse(ScheduledAt(at, self.next_event)));
     }
 
     fn wall(&self, i: usize) -> WallTime {
@@ -257,14 +274,15 @@
         z ^ (z >> 31)
     }
 
-    fn happen(&mut self, event: Event) {
+    /// Processes an event, or delays it while its node is paused.
+    fn process_event(&mut self, event: Event) {
         let to = match &event {
             Event::Tick(i) => *i,
             Event::Deliver { to, .. } | Event::Request { to, .. } | Event::Reply { to, .. } => *to,
         };
         let frozen = self.peers[to].frozen_until;
         if frozen > self.now {
-            // A paused process finds everything waiting when it goes on.
+            // A paused process receives all delayed events when it resumes.
             self.schedule(frozen, event);
             return;
         }
@@ -291,10 +309,10 @@
         }
         let now = net_now(self.now, self.peers[i].skew_ms);
         let actions = self.peers[i].machine.step(now, input);
-        self.act(i, actions);
+        self.perform(i, actions);
     }
 
-    fn act(&mut self, i: usize, actions: Vec<Action>) {
+    fn perform(&mut self, i: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, packet } => self.send(i, index(to), packet),
@@ -312,7 +330,8 @@
         }
     }
 
-    fn passes(&self, from: usize, to: usize) -> bool {
+    /// Returns whether `to` is alive and reachable from `from`.
+    fn is_reachable(&self, from: usize, to: usize) -> bool {
         let centre = |i: usize| &self.peers[i].machine.me().data_centre;
         let cut = (centre(from).clone(), centre(to).clone());
         self.peers[to].alive && !self.cuts.contains(&cut) && !self.cut_links.contains(&(from, to))
@@ -333,7 +352,7 @@
 
     fn send(&mut self, from: usize, to: usize, packet: Packet) {
         self.peers[from].bytes_out += datagram_bytes(&packet);
-        if !self.passes(from, to) || self.random() % 1_000 < self.loss {
+        if !self.is_reachable(from, to) || self.random() % 1_000 < self.loss {
             return;
         }
         let latency = self.latency(from, to);
@@ -341,12 +360,12 @@
     }
 
     fn call(&mut self, from: usize, to: usize, request: ExchangeRequest) {
-        if !self.passes(from, to) || !self.passes(to, from) {
+        if !self.is_reachable(from, to) || !self.is_reachable(to, from) {
             let event = Event::Reply { from: to, to: from, reply: None };
             self.schedule(self.now + CALL_TIMEOUT, event);
             return;
         }
-        let bytes = CALL_BYTES / 2 + request_bytes(&request);
+        let bytes = CALL_OVERHEAD_BYTES / 2 + request_bytes(&request);
         self.peers[from].bytes_out += bytes;
         self.peers[to].bytes_in += bytes;
         let latency = self.latency(from, to) * 2;
@@ -359,8 +378,8 @@
         }
         let now = net_now(self.now, self.peers[to].skew_ms);
         let (reply, actions) = self.peers[to].machine.answer(now, request);
-        self.act(to, actions);
-        let bytes = CALL_BYTES / 2 + reply_bytes(&reply);
+        self.perform(to, actions);
+        let bytes = CALL_OVERHEAD_BYTES / 2 + reply_bytes(&reply);
         self.peers[to].bytes_out += bytes;
         self.peers[from].bytes_in += bytes;
         let latency = self.latency(to, from);
@@ -369,11 +388,13 @@
     }
 }
 
+/// Returns the time of a node whose wall clock is off by `skew_ms`.
 pub fn net_now(mono: Time, skew_ms: i64) -> Now {
     let wall = EPOCH.0 + mono.0 / 1_000;
     Now { mono, wall: WallTime(wall.saturating_add_signed(skew_ms)) }
 }
 
+/// Returns the size of a datagram with its headers, in bytes.
 pub fn datagram_bytes(packet: &Packet) -> u64 {
     let at = Stamp { wall: WallTime(1_796_344_110_107), logical: 300 };
     codec::encode_packet(packet, at, 1).unwrap().len() as u64 + DATAGRAM_HEADER_BYTES
@@ -391,11 +412,13 @@
     reply.differing.len() as u64 + items_bytes(&reply.items)
 }
 
+/// Returns the fact that announces configuration `version`.
 pub fn head(version: u64) -> Fact {
     let manifest = ContentHash::of(&version.to_le_bytes());
     Fact::Head(ConfigHead { version: ConfigVersion(version), manifest })
 }
 
+/// Returns a percentile of sorted `times`; zero if there are none.
 pub fn percentile(times: &[Duration], percent: usize) -> Duration {
     let last = times.len().saturating_sub(1);
     times.get(last * percent / 100).copied().unwrap_or_default()
--- a/crates/sycamore-member/tests/facts_everywhere.rs
+++ b/crates/sycamore-member/tests/facts_everywhere.rs
@@ -1,4 +1,4 @@
-//! Facts reach every node within the time that a configuration may take, whatever pushes miss.
+//! Dissemination of a configuration head to every node within the deadline, despite lost pushes.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -9,35 +9,37 @@
 use sycamore_member::Options;
 use sycamore_types::prelude::*;
 
-/// Least time in which the users want a configuration in force everywhere.
-const APPLY: Duration = Duration::from_secs(2);
-/// What fetching and applying it takes of that at most.
-const FETCH: Duration = Duration::from_millis(500);
+/// Strictest deadline for a new configuration to be in force on all nodes.
+const APPLY_DEADLINE: Duration = Duration::from_secs(2);
+/// Part of [`APPLY_DEADLINE`] reserved for fetching and applying the configuration.
+const FETCH_TIME: Duration = Duration::from_millis(500);
 const NODES: usize = 71;
-const CENTRES: usize = 3;
+const DATA_CENTRES: usize = 3;
 
-/// Nodes that don't know the head.
-fn behind(net: &Net) -> Vec<usize> {
+/// Returns the indices of nodes that don't know the head.
+fn nodes_without_head(net: &Net) -> Vec<usize> {
     let key = ItemKey::Fact(FactKey::Head);
     (0..NODES).filter(|i| net.peers[*i].machine.table().item(&key).is_none()).collect()
 }
 
+/// Guards against nodes that miss a head because all pushes to them were lost, at 2% datagram loss.
 #[test]
-fn a_head_reaches_all_nodes_in_time_though_datagrams_are_lost() {
+fn a_head_reaches_all_nodes_in_time_despite_datagram_loss() {
     for seed in 1..=40 {
-        let mut net = Net::new(NODES, CENTRES, seed, Options::default());
+        let mut net = Net::new(NODES, DATA_CENTRES, seed, Options::default());
         net.loss = 20;
         net.run(Duration::from_secs(3));
         net.raise(5, head(2));
-        net.run(APPLY - FETCH);
-        assert_eq!(behind(&net), Vec::<usize>::new(), "seed {seed}");
+        net.run(APPLY_DEADLINE - FETCH_TIME);
+        assert_eq!(nodes_without_head(&net), Vec::<usize>::new(), "seed {seed}");
     }
 }
 
+/// Guards against nodes that miss a head because they restart while it is being disseminated.
 #[test]
-fn a_head_reaches_nodes_that_start_again_while_it_spreads() {
+fn a_head_reaches_nodes_that_restart_during_its_dissemination() {
     for seed in 1..=40 {
-        let mut net = Net::new(NODES, CENTRES, seed, Options::default());
+        let mut net = Net::new(NODES, DATA_CENTRES, seed, Options::default());
         net.run(Duration::from_secs(3));
         for node in 10..20 {
             net.kill(node);
@@ -45,11 +47,11 @@
         net.run(Duration::from_millis(500));
         net.raise(5, head(2));
         for node in 10..20 {
-            // They read the platform's rows at different moments of the spread.
+            // The nodes read the platform's rows at different times of the dissemination.
             net.run(Duration::from_millis(20));
             net.restart(node, &[0, 33, 66]);
         }
-        net.run(APPLY - FETCH);
-        assert_eq!(behind(&net), Vec::<usize>::new(), "seed {seed}");
+        net.run(APPLY_DEADLINE - FETCH_TIME);
+        assert_eq!(nodes_without_head(&net), Vec::<usize>::new(), "seed {seed}");
     }
 }
--- a/crates/sycamore-member/tests/full_size.rs
+++ b/crates/sycamore-member/tests/full_size.rs
@@ -1,4 +1,4 @@
-//! A fleet of 930 nodes over 2 regions and 6 data centres, with faked time.
+//! Simulation of a fleet of 930 nodes in 2 regions and 6 data centres, with virtual time.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -9,20 +9,27 @@
 use sycamore_types::prelude::*;
 
 const NODES: usize = 930;
-const CENTRES: usize = 6;
-/// Bytes that a node may spend per second.
-const BOUND_BYTES_PER_S: f64 = 3_000.0;
+const DATA_CENTRES: usize = 6;
+/// Upper bound on the bytes sent and received by one node per second.
+const MAX_BYTES_PER_S: f64 = 3_000.0;
 
+/// Creates the fleet with 1% datagram loss and runs it for three seconds.
 fn fleet(seed: u64) -> Net {
-    let mut net = Net::new(NODES, CENTRES, seed, Options::default());
+    let mut net = Net::new(NODES, DATA_CENTRES, seed, Options::default());
     net.loss = 10;
     net.run(Duration::from_secs(3));
     net.reset_bytes();
     net
 }
 
-/// When the last of the live nodes came to hold `node` for `state`, if all do.
-fn known_as(net: &Net, node: usize, state: MemberState, since: Time) -> Option<Vec<Duration>> {
+/// Returns the sorted times from `since` until each live node learned that `node` is in `state`;
+/// `None` if some node never did.
+fn times_to_learn_state(
+    net: &Net,
+    node: usize,
+    state: MemberState,
+    since: Time,
+) -> Option<Vec<Duration>> {
     let id = net.id(node);
     let live = net.peers.iter().filter(|peer| peer.alive && peer.machine.me().instance != id);
     let mut times = Vec::new();
@@ -37,6 +44,7 @@
     Some(times)
 }
 
+/// Prints the percentiles of sorted `times`.
 fn print(what: &str, times: &[Duration]) {
     println!(
         "{what}: p50 {:?}, p99 {:?}, max {:?}",
@@ -46,12 +54,13 @@
     );
 }
 
+/// Guards against slow or incomplete dissemination of a head, and against high idle traffic.
 #[test]
-fn news_reaches_everybody_within_two_seconds_and_the_byte_budget() {
+fn a_head_reaches_all_nodes_in_two_seconds_within_the_byte_budget() {
     let mut net = fleet(1);
     net.run(Duration::from_secs(20));
     let (idle, idle_max) = net.bytes();
-    println!("idle: {:.0} B/s a node, highest {} B/s", idle / 20.0, idle_max / 20);
+    println!("idle: {:.0} B/s per node, highest {} B/s", idle / 20.0, idle_max / 20);
     net.reset_bytes();
     let since = net.now;
     net.raise(17, head(9));
@@ -59,63 +68,72 @@
     let (times, missing) = net.reached(&FactKey::Head, since);
     let (total, _) = net.bytes();
     print("head", &times);
-    println!("a head costs {:.0} B a node", total - idle);
+    println!("a head costs {:.0} B per node", total - idle);
     assert_eq!(missing, 0);
     assert!(percentile(&times, 99) < Duration::from_secs(2));
     assert!(idle / 20.0 < 1_000.0, "idle {:.0} B/s", idle / 20.0);
 }
 
+/// Guards against nodes that keep calling a draining or dead instance because they were not told.
 #[test]
-fn a_drain_and_a_death_reach_everybody() {
+fn a_drain_and_a_death_reach_all_nodes_in_time() {
     let mut net = fleet(2);
     let since = net.now;
     net.local(5, LocalState::Draining);
     net.run(Duration::from_secs(5));
-    let drained = known_as(&net, 5, MemberState::Draining, since).expect("all know the drain");
+    let drained = times_to_learn_state(&net, 5, MemberState::Draining, since)
+        .expect("all nodes learn of the drain");
     print("drain", &drained);
     assert!(percentile(&drained, 99) < Duration::from_secs(2));
     let since = net.now;
     net.kill(6);
     net.run(Duration::from_secs(40));
-    let dead = known_as(&net, 6, MemberState::Dead, since).expect("all know the death");
+    let dead = times_to_learn_state(&net, 6, MemberState::Dead, since)
+        .expect("all nodes learn of the death");
     print("death", &dead);
     assert!(percentile(&dead, 99) < Duration::from_secs(20));
 }
 
-/// A third of the size, since every node has to work through the whole herd.
+/// Guards against traffic bursts and lasting disagreement when many nodes die and restart at once.
+/// The fleet has a third of the full size, because every node processes every death and restart.
 #[test]
-fn a_herd_dies_and_returns_within_the_byte_budget() {
-    herd();
+fn a_mass_restart_stays_within_the_mean_byte_budget() {
+    run_mass_restart();
 }
 
-/// The bound is each node's, not the mean's.
+/// Guards against a single node that exceeds the byte budget during a mass restart while the mean
+/// of all nodes stays within it.
 #[test]
 fn no_node_exceeds_the_byte_budget_in_a_herd() {
-    let highest = herd();
-    assert!(highest < BOUND_BYTES_PER_S, "{highest:.0} B/s at the busiest node");
+    let highest = run_mass_restart();
+    assert!(highest < MAX_BYTES_PER_S, "{highest:.0} B/s at the node with the most traffic");
 }
 
-/// Kills and restarts 30%, and gives the bytes a second of the busiest node in its worst minute.
-fn herd() -> f64 {
+/// Kills and restarts 30% of the nodes. Returns the highest traffic of a single node, in bytes per
+/// second averaged over one minute.
+fn run_mass_restart() -> f64 {
     let nodes = std::env::var("HERD_FLEET").map_or(310, |nodes| nodes.parse().unwrap());
-    let mut net = Net::new(nodes, CENTRES, 3, Options::default());
+    let mut net = Net::new(nodes, DATA_CENTRES, 3, Options::default());
     net.loss = 10;
     net.run(Duration::from_secs(3));
     net.reset_bytes();
-    let herd: Vec<usize> = (0..nodes).filter(|i| i % 10 < 3).collect();
-    for node in &herd {
+    let restarted: Vec<usize> = (0..nodes).filter(|i| i % 10 < 3).collect();
+    for node in &restarted {
         net.kill(*node);
     }
-    let death = minutes(&mut net, "after the herd's death", |net| knowing(net, nodes - herd.len()));
-    for node in &herd {
-        // Two contacts of those that stayed.
+    let after_deaths = run_until_agreed(&mut net, "after the deaths", |net| {
+        all_see_serving(net, nodes - restarted.len())
+    });
+    for node in &restarted {
+        // The two contacts are nodes that were not killed.
         net.restart(*node, &[(*node + 5) % nodes, (*node + 6) % nodes]);
     }
-    minutes(&mut net, "after the herd's return", |net| knowing(net, nodes)).max(death)
+    run_until_agreed(&mut net, "after the restarts", |net| all_see_serving(net, nodes))
+        .max(after_deaths)
 }
 
-/// How many live nodes know `members` members that serve.
-fn knowing(net: &Net, members: usize) -> bool {
+/// Returns whether every live node sees exactly `members` members, all of them serving.
+fn all_see_serving(net: &Net, members: usize) -> bool {
     net.peers.iter().filter(|peer| peer.alive).all(|peer| {
         let view = peer.machine.view();
         let serving = view.members.values().filter(|m| m.state == MemberState::Serving);
@@ -123,30 +141,33 @@
     })
 }
 
-/// Runs for up to five minutes until `done`, and holds each minute's mean to the byte budget. Gives
-/// the bytes a second of the busiest node in its worst minute.
-fn minutes(net: &mut Net, what: &str, done: impl Fn(&Net) -> bool) -> f64 {
+/// Runs for up to five minutes until `agreed` holds, and asserts that the mean traffic of each
+/// minute is within the byte budget. Returns the highest traffic of a single node, in bytes per
+/// second averaged over one minute.
+fn run_until_agreed(net: &mut Net, what: &str, agreed: impl Fn(&Net) -> bool) -> f64 {
     let mut worst: f64 = 0.0;
     for minute in 1..=5 {
         net.reset_bytes();
         net.run(Duration::from_secs(60));
         let (bytes, highest) = net.bytes();
         println!(
-            "{what}, minute {minute}: {:.0} B/s a node, highest {}",
+            "{what}, minute {minute}: {:.0} B/s per node, highest {}",
             bytes / 60.0,
             highest / 60
         );
-        assert!(bytes / 60.0 < BOUND_BYTES_PER_S, "{what}: {:.0} B/s", bytes / 60.0);
+        assert!(bytes / 60.0 < MAX_BYTES_PER_S, "{what}: {:.0} B/s", bytes / 60.0);
         worst = worst.max(highest as f64 / 60.0);
-        if done(net) {
+        if agreed(net) {
             return worst;
         }
     }
-    panic!("{what}: nodes don't agree after five minutes");
+    panic!("{what}: nodes disagree after five minutes");
 }
 
+/// Guards against false deaths during a partition between regions, and against a traffic burst or a
+/// lost head after it heals.
 #[test]
-fn regions_that_lose_each_other_heal_without_a_storm() {
+fn a_region_partition_heals_within_the_byte_budget() {
     let mut net = fleet(4);
     let centre = |i: usize| -> DataCentre { format!("dc{i}").parse().unwrap() };
     for a in 0..3 {
@@ -156,11 +177,11 @@
         }
     }
     net.run(Duration::from_secs(120));
-    let (cut, highest) = net.bytes();
-    println!("cut: {:.0} B/s a node, highest {}", cut / 120.0, highest / 120);
+    let (partitioned, highest) = net.bytes();
+    println!("partitioned: {:.0} B/s per node, highest {}", partitioned / 120.0, highest / 120);
     for node in [0, 3] {
-        let opinions = net.opinions(node);
-        assert_eq!(opinions.len(), 1, "node {node}: {opinions:?}");
+        let states = net.state_counts(node);
+        assert_eq!(states.len(), 1, "node {node}: {states:?}");
     }
     net.raise(0, head(11));
     net.run(Duration::from_secs(10));
@@ -168,10 +189,10 @@
     net.cuts.clear();
     let since = net.now;
     net.run(Duration::from_secs(30));
-    let (heal, highest) = net.bytes();
-    println!("heal: {:.0} B/s a node, highest {}", heal / 30.0, highest / 30);
+    let (healed, highest) = net.bytes();
+    println!("healed: {:.0} B/s per node, highest {}", healed / 30.0, highest / 30);
     let (times, missing) = net.reached(&FactKey::Head, since);
-    print("head raised during the cut, after the heal", &times);
+    print("head published during the partition, after healing", &times);
     assert_eq!(missing, 0);
-    assert!(heal / 30.0 < BOUND_BYTES_PER_S);
+    assert!(healed / 30.0 < MAX_BYTES_PER_S);
 }
--- a/crates/sycamore-member/tests/model.rs
+++ b/crates/sycamore-member/tests/model.rs
@@ -1,5 +1,6 @@
-//! Every order of events in a small system of the real machines: two observers and one subject
-//! that drains, dies, is replaced and is falsely accused, with datagrams lost, doubled and late.
+//! Exhaustive model of membership with the real state machines: two observers and one subject,
+//! which drains, crashes, is replaced and is falsely suspected, with lost, duplicated and late
+//! datagrams.
 #![allow(clippy::unwrap_used)]
 
 use std::fmt;
@@ -12,31 +13,33 @@
 use sycamore_types::prelude::*;
 
 const WALL: WallTime = WallTime(1_000_000);
-/// The two observers and the subject.
+/// Number of nodes: two observers and the subject.
 const NODES: usize = 3;
+/// Index of the subject.
 const SUBJECT: usize = 2;
 
-/// A deliberate fault in the protocol, which a property must catch.
+/// Deliberate fault of the protocol, which the model must detect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// The subject never hears what is said of it.
+    /// The subject never receives records of itself.
     NoRefutation,
-    /// Dead members are forgotten at once.
+    /// Dead members are removed immediately.
     NoTombstones,
-    /// A node that drains serves again when its upstream announces itself.
-    DrainForgotten,
+    /// A draining node serves again when its upstream announces itself.
+    DrainReverted,
 }
 
-/// Which events of the subject's life are explored together; all of them would be too many.
+/// Set of events that are explored together; all events at once give too many states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Scope {
-    /// Death and replacement.
+    /// Crash and replacement of the subject.
     Replacement,
-    /// A new version, and a drain.
+    /// New version and drain of the subject.
     Drain,
 }
 
+/// Model of the three nodes and the datagrams between them.
 struct System {
     mutant: Mutant,
     scope: Scope,
@@ -45,25 +48,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     nodes: Vec<Option<Membership>>,
-    under_way: Vec<(usize, usize, Packet)>,
-    /// The highest record of the subject that each observer has held.
-    seen: Vec<(Incarnation, MemberState)>,
-    /// The subject's incarnation when it began to drain.
+    /// Datagrams in flight, each with the indices of its sender and receiver.
+    in_flight: Vec<(usize, usize, Packet)>,
+    /// Highest record of the subject that each observer has had.
+    highest: Vec<(Incarnation, MemberState)>,
+    /// Incarnation of the subject when it started to drain.
     drained: Option<Incarnation>,
-    accusations: u8,
+    false_suspicions: u8,
     restarts: u8,
-    doubles: u8,
+    duplicates: u8,
     ticks: u8,
     announced: bool,
-    fault: Option<String>,
+    /// First observed reversal of an observer's record.
+    violation: Option<String>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Event {
     Deliver(usize),
     Lose(usize),
-    Double(usize),
-    Accuse(usize, MemberState),
+    Duplicate(usize),
+    FalselySuspect(usize, MemberState),
     Drain,
     Announce,
     Crash,
@@ -102,30 +107,31 @@
     }
 }
 
-/// The first tick is late enough for a sweep of what has expired.
+/// Returns the time after `ticks` ticks. The first tick is late enough for expired members to be
+/// removed.
 fn now(ticks: u8) -> Now {
     Now { mono: Time::from_secs(2 * u64::from(ticks)), wall: WALL }
 }
 
 impl System {
-    /// Datagrams under way at most; more are lost.
-    fn under_way(&self) -> usize {
+    /// Returns the upper bound on datagrams in flight; further ones are lost.
+    fn max_in_flight(&self) -> usize {
         match self.scope {
             Scope::Replacement => 4,
             Scope::Drain => 2,
         }
     }
 
-    /// Ticks of an observer at most.
-    fn ticks(&self) -> u8 {
+    /// Returns the upper bound on ticks of an observer.
+    fn max_ticks(&self) -> u8 {
         match self.scope {
             Scope::Replacement => 3,
             Scope::Drain => 1,
         }
     }
 
-    /// False accusations of the subject at most.
-    fn accusations(&self) -> u8 {
+    /// Returns the upper bound on false suspicions of the subject.
+    fn max_false_suspicions(&self) -> u8 {
         match self.scope {
             Scope::Replacement => 3,
             Scope::Drain => 1,
@@ -133,7 +139,7 @@
     }
 
     fn options(&self) -> Options {
-        let forgetful = self.mutant == Mutant::NoTombstones;
+        let is_forgetful = self.mutant == Mutant::NoTombstones;
         let defaults = Options::default();
         Options {
             fanout: 2,
@@ -141,8 +147,8 @@
             retransmits: 1,
             probe_interval: Duration::from_secs(100),
             exchange_interval: Duration::from_secs(1_000),
-            patience: Duration::from_secs(1_000),
-            dead_retention: if forgetful { Duration::ZERO } else { defaults.dead_retention },
+            max_mismatch_time: Duration::from_secs(1_000),
+            dead_retention: if is_forgetful { Duration::ZERO } else { defaults.dead_retention },
             ..defaults
         }
     }
@@ -154,25 +160,25 @@
         machine
     }
 
-    /// What happens in `state`, and what nodes do about it.
+    /// Returns the state after `event` and the reactions of the nodes.
     fn after(&self, state: &State, event: Event) -> State {
         let mut state = state.clone();
         match event {
             Event::Deliver(k) => {
-                let (from, to, packet) = state.under_way.remove(k);
+                let (from, to, packet) = state.in_flight.remove(k);
                 self.deliver(&mut state, from, to, packet);
             }
             Event::Lose(k) => {
-                state.under_way.remove(k);
+                state.in_flight.remove(k);
             }
-            Event::Double(k) => {
-                let (from, to, packet) = state.under_way[k].clone();
-                state.doubles += 1;
+            Event::Duplicate(k) => {
+                let (from, to, packet) = state.in_flight[k].clone();
+                state.duplicates += 1;
                 self.deliver(&mut state, from, to, packet);
             }
-            Event::Accuse(to, worse) => {
-                state.accusations += 1;
-                self.accuse(&mut state, to, worse);
+            Event::FalselySuspect(to, worse) => {
+                state.false_suspicions += 1;
+                self.falsely_suspect(&mut state, to, worse);
             }
             Event::Drain => {
                 let drained = state.nodes[SUBJECT].as_ref().map(|node| node.me().incarnation);
@@ -181,7 +187,7 @@
             }
             Event::Announce => {
                 state.announced = true;
-                if state.drained.is_none() || self.mutant == Mutant::DrainForgotten {
+                if state.drained.is_none() || self.mutant == Mutant::DrainReverted {
                     let version = "2".parse().unwrap();
                     let serving = LocalState::Serving { version, slots: 2 };
                     self.input(&mut state, SUBJECT, Input::Local(serving));
@@ -198,8 +204,8 @@
                 self.input(&mut state, i, Input::Tick);
             }
         }
-        state.under_way.sort_by_cached_key(order);
-        self.remember(&mut state);
+        state.in_flight.sort_by_cached_key(packet_hash);
+        self.check_reversal(&mut state);
         state
     }
 
@@ -210,8 +216,9 @@
         self.input(state, to, Input::Packet { from: address(from), packet });
     }
 
-    /// Somebody outside tells node `to` that the subject is worse than that node holds it for.
-    fn accuse(&self, state: &mut State, to: usize, worse: MemberState) {
+    /// Delivers to node `to` a record of the subject in a `worse` state, from a node outside the
+    /// model.
+    fn falsely_suspect(&self, state: &mut State, to: usize, worse: MemberState) {
         let Some(record) = record(state, to) else { return };
         let items = vec![Item::Member(Member { state: worse, ..record })];
         let packet = Packet { from: "n9".parse().unwrap(), body: Body::Push, items };
@@ -223,31 +230,32 @@
         let Some(node) = &mut state.nodes[i] else { return };
         for action in node.step(time, input) {
             if let Action::Send { to, packet } = action {
-                if index(to) < NODES && state.under_way.len() < self.under_way() {
-                    state.under_way.push((i, index(to), packet));
+                if index(to) < NODES && state.in_flight.len() < self.max_in_flight() {
+                    state.in_flight.push((i, index(to), packet));
                 }
             }
         }
     }
 
-    /// Compares what observers hold with what they held before.
-    fn remember(&self, state: &mut State) {
+    /// Records a violation if an observer's record of the subject is lower than before.
+    fn check_reversal(&self, state: &mut State) {
         for observer in 0..SUBJECT {
-            let held = record(state, observer).map(|m| (m.incarnation, m.state));
-            let Some(held) = held else { continue };
-            if held < state.seen[observer] {
-                let fault = format!(
-                    "node {observer} went back from {:?} to {held:?}",
-                    state.seen[observer]
+            let current = record(state, observer).map(|m| (m.incarnation, m.state));
+            let Some(current) = current else { continue };
+            if current < state.highest[observer] {
+                let violation = format!(
+                    "node {observer} reverted from {:?} to {current:?}",
+                    state.highest[observer]
                 );
-                state.fault = Some(fault);
+                state.violation = Some(violation);
             }
-            state.seen[observer] = state.seen[observer].max(held);
+            state.highest[observer] = state.highest[observer].max(current);
         }
     }
 
-    /// Lets all nodes compare their tables until nothing changes.
-    fn settle(&self, state: &State) -> Vec<Option<Membership>> {
+    /// Returns the nodes after table exchanges between all of them, in an order that lets every
+    /// refutation reach both observers.
+    fn converge(&self, state: &State) -> Vec<Option<Membership>> {
         let mut nodes = state.nodes.clone();
         for (a, b) in [(2, 0), (2, 1), (2, 0), (2, 1), (0, 1)] {
             self.exchange(&mut nodes, a, b);
@@ -255,25 +263,30 @@
         nodes
     }
 
+    /// Exchanges the members of nodes `a` and `b` in both directions, unless one has crashed.
     fn exchange(&self, nodes: &mut [Option<Membership>], a: usize, b: usize) {
-        let (Some(mut asking), Some(mut asked)) = (nodes[a].clone(), nodes[b].clone()) else {
+        let (Some(mut first), Some(mut second)) = (nodes[a].clone(), nodes[b].clone()) else {
             return;
         };
-        let deaf = self.mutant == Mutant::NoRefutation;
-        let said = |node: &Membership, to: usize| -> Vec<Item> {
+        let is_subject_deaf = self.mutant == Mutant::NoRefutation;
+        let sent_items = |node: &Membership, to: usize| -> Vec<Item> {
             let items = node.table().members().cloned().map(Item::Member);
-            items.filter(|item| !(deaf && to == SUBJECT && is_about_subject(item))).collect()
+            items
+                .filter(|item| !(is_subject_deaf && to == SUBJECT && is_about_subject(item)))
+                .collect()
         };
-        let offer = ExchangeRequest { items: said(&asking, b), ..ExchangeRequest::default() };
-        asked.answer(now(3), &offer);
-        let answer = ExchangeRequest { items: said(&asked, a), ..ExchangeRequest::default() };
-        asking.answer(now(3), &answer);
-        (nodes[a], nodes[b]) = (Some(asking), Some(asked));
+        let offer = ExchangeRequest { items: sent_items(&first, b), ..ExchangeRequest::default() };
+        second.answer(now(3), &offer);
+        let answer =
+            ExchangeRequest { items: sent_items(&second, a), ..ExchangeRequest::default() };
+        first.answer(now(3), &answer);
+        (nodes[a], nodes[b]) = (Some(first), Some(second));
     }
 }
 
-/// An order that doesn't depend on which datagram was sent first.
-fn order(entry: &(usize, usize, Packet)) -> u64 {
+/// Returns a hash by which datagrams in flight are sorted, so that states that differ only in the
+/// order of sending are equal.
+fn packet_hash(entry: &(usize, usize, Packet)) -> u64 {
     let mut hasher = DefaultHasher::new();
     entry.hash(&mut hasher);
     hasher.finish()
@@ -283,6 +296,7 @@
     item.key() == ItemKey::Member("n2".parse().unwrap())
 }
 
+/// Returns the subject's record in an observer's table.
 fn record(state: &State, observer: usize) -> Option<Member> {
     let subject = "n2".parse().unwrap();
     state.nodes[observer].as_ref()?.table().member(&subject).cloned()
@@ -296,31 +310,31 @@
         let nodes = (0..NODES).map(|i| Some(self.machine(i, 1, &[0, 1, 2]))).collect();
         vec![State {
             nodes,
-            under_way: Vec::new(),
-            seen: vec![(Incarnation(1), MemberState::Serving); SUBJECT],
+            in_flight: Vec::new(),
+            highest: vec![(Incarnation(1), MemberState::Serving); SUBJECT],
             drained: None,
-            accusations: 0,
+            false_suspicions: 0,
             restarts: 0,
-            doubles: 0,
+            duplicates: 0,
             ticks: 0,
             announced: false,
-            fault: None,
+            violation: None,
         }]
     }
 
     fn next(&self, state: &State) -> Vec<(Event, State)> {
         let mut events = Vec::new();
-        for k in 0..state.under_way.len() {
+        for k in 0..state.in_flight.len() {
             events.extend([Event::Deliver(k), Event::Lose(k)]);
-            if state.doubles < 1 {
-                events.push(Event::Double(k));
+            if state.duplicates < 1 {
+                events.push(Event::Duplicate(k));
             }
         }
-        if state.accusations < self.accusations() {
-            events.push(Event::Accuse(0, MemberState::Suspect));
-            events.push(Event::Accuse(1, MemberState::Dead));
+        if state.false_suspicions < self.max_false_suspicions() {
+            events.push(Event::FalselySuspect(0, MemberState::Suspect));
+            events.push(Event::FalselySuspect(1, MemberState::Dead));
         }
-        if state.ticks < self.ticks() {
+        if state.ticks < self.max_ticks() {
             events.push(Event::Tick(1));
         }
         match (self.scope, &state.nodes[SUBJECT]) {
@@ -340,41 +354,41 @@
     }
 
     fn check(&self, state: &State) -> Result<(), String> {
-        if let Some(fault) = &state.fault {
-            return Err(fault.clone());
+        if let Some(violation) = &state.violation {
+            return Err(violation.clone());
         }
         check_drain(state)?;
-        check_agreement(state, &self.settle(state))
+        check_agreement(state, &self.converge(state))
     }
 }
 
-/// Nobody holds a subject that drains for fit to get work.
+/// Checks that no node has a draining subject in a state in which it would be called.
 fn check_drain(state: &State) -> Result<(), String> {
     let Some(drained) = state.drained.filter(|_| state.nodes[SUBJECT].is_some()) else {
         return Ok(());
     };
     for observer in 0..NODES {
-        let Some(held) = record(state, observer) else { continue };
-        let older = held.incarnation < drained;
-        let same_but_not_told = held.incarnation == drained && observer != SUBJECT;
-        if !older && !same_but_not_told && held.state < MemberState::Draining {
-            return Err(format!("node {observer} gives work to a subject that drains: {held:?}"));
+        let Some(record) = record(state, observer) else { continue };
+        let is_older = record.incarnation < drained;
+        let is_uninformed = record.incarnation == drained && observer != SUBJECT;
+        if !is_older && !is_uninformed && record.state < MemberState::Draining {
+            return Err(format!("node {observer} would call a draining subject: {record:?}"));
         }
     }
     Ok(())
 }
 
-/// Once tables are compared all nodes agree, and hold a living subject for what it says it is.
-fn check_agreement(state: &State, settled: &[Option<Membership>]) -> Result<(), String> {
+/// Checks that after table exchanges the observers agree and have a live subject's own record.
+fn check_agreement(state: &State, converged: &[Option<Membership>]) -> Result<(), String> {
     let subject: InstanceId = "n2".parse().unwrap();
-    let held = |i: usize| settled[i].as_ref().and_then(|node| node.table().member(&subject));
-    if held(0) != held(1) {
-        return Err(format!("observers disagree: {:?} and {:?}", held(0), held(1)));
+    let record = |i: usize| converged[i].as_ref().and_then(|node| node.table().member(&subject));
+    if record(0) != record(1) {
+        return Err(format!("observers disagree: {:?} and {:?}", record(0), record(1)));
     }
-    let (Some(node), Some(_)) = (&settled[SUBJECT], &state.nodes[SUBJECT]) else { return Ok(()) };
-    if held(0) != Some(node.me()) {
-        let said = node.me();
-        return Err(format!("the living subject is {said:?} and is held for {:?}", held(0)));
+    let (Some(node), Some(_)) = (&converged[SUBJECT], &state.nodes[SUBJECT]) else { return Ok(()) };
+    if record(0) != Some(node.me()) {
+        let own = node.me();
+        return Err(format!("the live subject is {own:?}, but observers have {:?}", record(0)));
     }
     Ok(())
 }
@@ -385,34 +399,42 @@
     outcome
 }
 
-fn broken(mutant: Mutant, scope: Scope) -> String {
+/// Returns the property that a mutant violates.
+fn violated_property(mutant: Mutant, scope: Scope) -> String {
     match outcome(mutant, scope) {
         Outcome::Broken { property, .. } => property,
-        other => panic!("{mutant:?} was not caught: {other}"),
+        other => panic!("{mutant:?} was not detected: {other}"),
     }
 }
 
+/// Guards against an observer that reverts to an older record or disagrees, when the subject
+/// crashes, is replaced and is falsely suspected.
 #[test]
-fn death_and_replacement_hold_in_every_order_of_events() {
+fn crash_and_replacement_hold_in_every_order_of_events() {
     assert!(matches!(outcome(Mutant::None, Scope::Replacement), Outcome::Holds { .. }));
 }
 
+/// Guards against a draining subject that is called again, when it also announces a new version and
+/// is falsely suspected.
 #[test]
 fn a_drain_holds_in_every_order_of_events() {
     assert!(matches!(outcome(Mutant::None, Scope::Drain), Outcome::Holds { .. }));
 }
 
+/// Guards against a model that misses a live subject left dead for lack of refutation.
 #[test]
-fn without_refutation_a_living_instance_stays_dead() {
-    assert!(broken(Mutant::NoRefutation, Scope::Replacement).contains("living subject"));
+fn a_missing_refutation_is_detected() {
+    assert!(violated_property(Mutant::NoRefutation, Scope::Replacement).contains("live subject"));
 }
 
+/// Guards against a model that misses a dead incarnation revived for lack of tombstones.
 #[test]
-fn without_tombstones_a_dead_incarnation_returns() {
-    assert!(broken(Mutant::NoTombstones, Scope::Drain).contains("went back"));
+fn missing_tombstones_are_detected() {
+    assert!(violated_property(Mutant::NoTombstones, Scope::Drain).contains("reverted"));
 }
 
+/// Guards against a model that misses calls to a subject whose drain was reverted.
 #[test]
-fn a_forgotten_drain_gets_work() {
-    assert!(broken(Mutant::DrainForgotten, Scope::Drain).contains("drains"));
+fn a_reverted_drain_is_detected() {
+    assert!(violated_property(Mutant::DrainReverted, Scope::Drain).contains("draining subject"));
 }
--- a/crates/sycamore-member/tests/scenarios.rs
+++ b/crates/sycamore-member/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios: text files that tell a story of faults and what nodes then hold.
+//! Scripted scenarios of faults in a simulated network, in the files under `scenarios/`.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -28,17 +28,19 @@
     text(args, name).parse().unwrap()
 }
 
-fn opinions(net: &Net, node: usize) -> String {
+/// Prints how many live nodes have `node` in each state.
+fn states(net: &Net, node: usize) -> String {
     let mut out = String::new();
-    for (state, count) in net.opinions(node) {
+    for (state, count) in net.state_counts(node) {
         let state = state.map_or_else(|| "unknown".into(), |state| format!("{state:?}"));
         writeln!(out, "{state}: {count}").unwrap();
     }
     out
 }
 
-fn shown(net: &Net, by: usize) -> String {
-    let view = net.peers[by].machine.view();
+/// Prints the members in the view of `node`.
+fn view(net: &Net, node: usize) -> String {
+    let view = net.peers[node].machine.view();
     let mut out = String::new();
     for member in view.members.values() {
         writeln!(out, "{} {:?}", member.instance, member.state).unwrap();
@@ -46,11 +48,13 @@
     out
 }
 
-fn is_refuted(net: &Net, node: usize) -> bool {
+/// Returns whether `node` has taken a higher incarnation than its first one.
+fn has_refuted(net: &Net, node: usize) -> bool {
     net.peers[node].machine.me().incarnation.0 > common::EPOCH.0
 }
 
-fn play(net: &mut Option<Net>, directive: &str, args: &Args) -> String {
+/// Runs one directive and returns its output.
+fn run_directive(net: &mut Option<Net>, directive: &str, args: &Args) -> String {
     if directive == "fleet" {
         let (nodes, centres) = (number(args, "nodes") as usize, number(args, "centres") as usize);
         let mut fleet = Net::new(nodes, centres, number(args, "seed"), Options::default());
@@ -77,9 +81,9 @@
         }
         "skew" => net.peers[node].skew_ms = text(args, "ms").parse().unwrap(),
         "head" => net.raise(node, head(number(args, "version"))),
-        "opinions" => return opinions(net, node),
-        "shown" => return shown(net, number(args, "by") as usize),
-        "refuted" => return format!("{}\n", is_refuted(net, node)),
+        "states" => return states(net, node),
+        "view" => return view(net, node),
+        "refuted" => return format!("{}\n", has_refuted(net, node)),
         "knows-head" => {
             let (times, missing) = net.reached(&FactKey::Head, Time::default());
             return format!("{} know, {missing} don't\n", times.len());
@@ -89,10 +93,11 @@
     "ok\n".into()
 }
 
+/// Guards member states, views and incarnations against the expected output in each script.
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios", |f| {
         let mut net = None;
-        f.run(|case| play(&mut net, &case.directive, &case.args));
+        f.run(|case| run_directive(&mut net, &case.directive, &case.args));
     });
 }
--- a/crates/sycamore-member/tests/table.rs
+++ b/crates/sycamore-member/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table is a join semilattice, and its bounds hold.
+//! Properties of the table: it is a join semilattice, and its bounds hold.
 #![allow(clippy::unwrap_used)]
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
@@ -10,7 +10,7 @@
 use sycamore_types::prelude::*;
 
 const WALL: WallTime = WallTime(1_000_000);
-const ROOM: usize = 4_096;
+const MAX_ITEMS: usize = 4_096;
 
 #[derive(Debug, Clone)]
 struct AnyItem(Item);
@@ -91,7 +91,7 @@
 }
 
 fn table(items: &[AnyItem]) -> Table {
-    let mut table = Table::new(ROOM, ROOM);
+    let mut table = Table::new(MAX_ITEMS, MAX_ITEMS);
     for item in items {
         table.join(&item.0, Time::default(), WALL);
     }
@@ -104,7 +104,8 @@
 }
 
 quickcheck! {
-    fn joining_commutes_and_repeats_change_nothing(items: Vec<AnyItem>, rotate: usize) -> bool {
+    /// Guards against tables that diverge because of the order or duplication of messages.
+    fn joining_is_commutative_and_idempotent(items: Vec<AnyItem>, rotate: usize) -> bool {
         let mut other = items.clone();
         other.reverse();
         let len = other.len().max(1);
@@ -114,6 +115,7 @@
         content(&table(&items)) == content(&table(&other))
     }
 
+    /// Guards against tables that diverge because of the order of table exchanges.
     fn joining_tables_is_associative(a: Vec<AnyItem>, b: Vec<AnyItem>, c: Vec<AnyItem>) -> bool {
         let of = |table: &Table| -> Vec<AnyItem> {
             let members = table.members().cloned().map(Item::Member);
@@ -125,8 +127,9 @@
         content(&left) == content(&right)
     }
 
-    fn a_member_never_gets_better_within_an_incarnation(items: Vec<AnyItem>) -> bool {
-        let mut table = Table::new(ROOM, ROOM);
+    /// Guards against an outdated record that improves a member's state without a new incarnation.
+    fn a_member_state_never_improves_within_an_incarnation(items: Vec<AnyItem>) -> bool {
+        let mut table = Table::new(MAX_ITEMS, MAX_ITEMS);
         items.iter().all(|AnyItem(item)| {
             let before = match item {
                 Item::Member(m) => table.member(&m.instance).map(|m| (m.incarnation, m.state)),
@@ -143,6 +146,8 @@
         })
     }
 
+    /// Guards against digests that depend on the order of joins, which would cause endless
+    /// exchanges.
     fn equal_tables_have_equal_digests(items: Vec<AnyItem>) -> bool {
         let mut other = items.clone();
         other.reverse();
@@ -150,8 +155,10 @@
     }
 }
 
+/// Guards against a bad version that is forgotten, and against an expired fact that is accepted
+/// again from a node with a late clock.
 #[test]
-fn verdicts_outlive_everything_else() {
+fn bad_versions_never_expire_and_expired_facts_are_refused() {
     let bad = Fact::BadVersion {
         service: "counter".parse().unwrap(),
         version: "2".parse().unwrap(),
@@ -161,28 +168,30 @@
     };
     let quarantined =
         Fact::Quarantined { fingerprint: Fingerprint(1), until: WALL + Duration::from_secs(1) };
-    let mut table = Table::new(ROOM, ROOM);
+    let mut table = Table::new(MAX_ITEMS, MAX_ITEMS);
     table.join(&Item::Fact(bad.clone()), Time::default(), WALL);
     table.join(&Item::Fact(quarantined.clone()), Time::default(), WALL);
     let later = WALL + Duration::from_secs(365 * 24 * 3_600);
     table.expire(Time::from_secs(365 * 24 * 3_600), later, Duration::from_secs(1));
     assert_eq!(table.facts().collect::<Vec<_>>(), [&bad]);
-    let again = table.join(&Item::Fact(quarantined), Time::default(), later);
-    assert_eq!(again, Joined::Refused, "an expired fact comes back");
+    let rejoined = table.join(&Item::Fact(quarantined), Time::default(), later);
+    assert_eq!(rejoined, Joined::Refused, "an expired fact is accepted");
 }
 
+/// Guards against unbounded growth and against records with incarnations or expiry times far in the
+/// future; refusals must be counted.
 #[test]
 fn bounds_hold_and_refusals_are_counted() {
     let mut table = Table::new(2, 2);
-    let far = WALL.0 + MAX_AHEAD_MS + 1;
+    let too_far_ahead = WALL.0 + MAX_AHEAD_MS + 1;
     let dead = member(9, 1, MemberState::Dead, 0);
     let items = [
         (Item::Member(dead.clone()), Joined::New),
         (Item::Member(member(1, 1, MemberState::Serving, 0)), Joined::New),
-        // The dead one makes room.
+        // The dead member is removed to make room.
         (Item::Member(member(2, 1, MemberState::Serving, 0)), Joined::New),
         (Item::Member(member(3, 1, MemberState::Serving, 0)), Joined::Refused),
-        (Item::Member(member(1, far, MemberState::Serving, 0)), Joined::Refused),
+        (Item::Member(member(1, too_far_ahead, MemberState::Serving, 0)), Joined::Refused),
     ];
     for (item, joined) in items {
         assert_eq!(table.join(&item, Time::default(), WALL), joined, "{item:?}");
@@ -193,12 +202,12 @@
     for n in 1..=3 {
         table.join(&Item::Fact(quarantined(n)), Time::default(), WALL);
     }
-    assert_eq!(table.facts().count(), 2, "the first to expire goes");
+    assert_eq!(table.facts().count(), 2, "the fact that expires first is evicted");
     assert!(!table.facts().any(|fact| *fact == quarantined(1)));
-    let eternal = Fact::Quarantined {
+    let too_long = Fact::Quarantined {
         fingerprint: Fingerprint(4),
         until: WALL + MAX_FACT_LIFE + Duration::from_secs(1),
     };
-    assert_eq!(table.join(&Item::Fact(eternal), Time::default(), WALL), Joined::Refused);
+    assert_eq!(table.join(&Item::Fact(too_long), Time::default(), WALL), Joined::Refused);
     assert_eq!(table.refused(), 3);
 }
