--- a/crates/sycamore-model/src/lib.rs
+++ b/crates/sycamore-model/src/lib.rs
@@ -1,51 +1,51 @@
-//! Exhaustive exploration of small models over the real state machines.
+//! Explicit-state model checker for small models that run the real state machines.
 //!
-//! A [`Model`] says where a protocol starts, what may happen next (deliveries, losses, duplicates,
-//! crashes, pauses, lost answers) and what must hold in every state. [`explore`] visits every state
-//! that can be reached, breadth first, so that a counterexample is a shortest one.
+//! A [`Model`] defines the initial states, the transitions (deliveries, losses, duplicates,
+//! crashes, pauses, lost answers) and the invariant of a protocol. [`explore`] visits every
+//! reachable state in breadth-first order, so a counterexample is as short as possible.
 
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 use std::fmt;
 use std::hash::Hash;
 
-/// A protocol small enough to explore whole.
+/// Protocol with few enough states to be explored exhaustively.
 pub trait Model {
-    /// One state of the whole system: processes, messages under way and platform.
+    /// State of the whole system: processes, messages in flight and platform.
     type State: Clone + Eq + Hash;
-    /// One thing that happens.
+    /// Transition label, shown in the trace of a counterexample.
     type Action: Clone + fmt::Display;
 
-    /// The states that the system may start in.
+    /// Returns the initial states of the system.
     fn starts(&self) -> Vec<Self::State>;
 
-    /// Everything that may happen in `state`, with the state after it.
+    /// Returns every transition possible in `state`, with the resulting state.
     fn next(&self, state: &Self::State) -> Vec<(Self::Action, Self::State)>;
 
-    /// What must hold in every state.
+    /// Checks the invariant in `state`.
     ///
     /// # Errors
-    /// A sentence that says which property `state` breaks.
+    /// Returns a description of the property that `state` violates.
     fn check(&self, state: &Self::State) -> Result<(), String>;
 }
 
-/// What an exploration found.
+/// Result of an exploration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// Every reachable state holds; there are `states` of them.
+    /// The invariant holds in every reachable state.
     Holds {
-        /// Number of distinct states.
+        /// Number of distinct reachable states.
         states: usize,
     },
-    /// A property is broken.
+    /// A reachable state violates the invariant.
     Broken {
-        /// The property, in a sentence.
+        /// Description of the violated property, as returned by [`Model::check`].
         property: String,
-        /// The shortest sequence of actions that breaks it, in words.
+        /// Labels of a shortest sequence of transitions to a violating state.
         trace: Vec<String>,
     },
-    /// There are more than `states` states: nothing is proved.
+    /// The exploration exceeded [`Options::max_states`] and proves nothing.
     TooLarge {
-        /// Number of distinct states visited.
+        /// Number of distinct states visited before the exploration stopped.
         states: usize,
     },
 }
@@ -53,12 +53,17 @@
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Outcome::Holds { states } => write!(f, "holds in all {states} states"),
+            Outcome::Holds { states } => write!(f, "the invariant holds in all {states} states"),
             Outcome::Broken { property, trace } => {
-                writeln!(f, "broken: {property}")?;
-                trace.iter().enumerate().try_for_each(|(i, act)| writeln!(f, "{:>3}. {act}", i + 1))
+                writeln!(f, "invariant violated: {property}")?;
+                trace
+                    .iter()
+                    .enumerate()
+                    .try_for_each(|(i, label)| writeln!(f, "{:>3}. {label}", i + 1))
+            }
+            Outcome::TooLarge { states } => {
+                write!(f, "exploration incomplete after {states} states")
             }
-            Outcome::TooLarge { states } => write!(f, "not explored whole: over {states} states"),
         }
     }
 }
@@ -66,7 +71,7 @@
 /// Limits of an exploration.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Distinct states visited at most.
+    /// Upper bound on the number of distinct states visited.
     pub max_states: usize,
 }
 
@@ -76,14 +81,16 @@
     }
 }
 
-/// Visits every state of `model` that can be reached, breadth first. Holds one copy of each state;
-/// a trace is only worked out once a property is found broken.
+/// Visits every reachable state of `model` in breadth-first order and checks the invariant.
+///
+/// Each state is stored once. The trace of a counterexample is computed by a second search, only
+/// after a violation was found.
 pub fn explore<M: Model>(model: &M, options: &Options) -> Outcome {
     let mut visited = 0;
     for state in bfs_reach(None, |state| successors(model, state)).flatten() {
         visited += 1;
         if let Err(property) = model.check(&state) {
-            return Outcome::Broken { property, trace: trace(model) };
+            return Outcome::Broken { property, trace: shortest_trace(model) };
         }
         if visited > options.max_states {
             return Outcome::TooLarge { states: visited };
@@ -92,7 +99,8 @@
     Outcome::Holds { states: visited }
 }
 
-/// The states after `state`; `None` is a virtual root that leads to all starts.
+/// Returns the states after `state`; `None` is a virtual root whose successors are the initial
+/// states.
 fn successors<M: Model>(model: &M, state: &Option<M::State>) -> Vec<Option<M::State>> {
     match state {
         None => model.starts().into_iter().map(Some).collect(),
@@ -100,17 +108,17 @@
     }
 }
 
-/// The shortest sequence of actions, in words, to a state that breaks a property.
-fn trace<M: Model>(model: &M) -> Vec<String> {
-    let broken =
+/// Returns the labels of a shortest sequence of transitions to a state that violates the invariant.
+fn shortest_trace<M: Model>(model: &M) -> Vec<String> {
+    let is_violated =
         |state: &Option<M::State>| state.as_ref().is_some_and(|state| model.check(state).is_err());
-    let path = bfs(&None, |state| successors(model, state), broken).unwrap_or_default();
+    let path = bfs(&None, |state| successors(model, state), is_violated).unwrap_or_default();
     let states: Vec<M::State> = path.into_iter().flatten().collect();
-    states.windows(2).filter_map(|pair| action(model, &pair[0], &pair[1])).collect()
+    states.windows(2).filter_map(|pair| transition_label(model, &pair[0], &pair[1])).collect()
 }
 
-/// An action that leads from `state` to `next`, in words.
-fn action<M: Model>(model: &M, state: &M::State, next: &M::State) -> Option<String> {
+/// Returns the label of a transition from `state` to `next`.
+fn transition_label<M: Model>(model: &M, state: &M::State, next: &M::State) -> Option<String> {
     let found = model.next(state).into_iter().find(|(_, after)| after == next);
     found.map(|(action, _)| action.to_string())
 }
