--- a/crates/sycamore-member/src/machine/exchange.rs
+++ b/crates/sycamore-member/src/machine/exchange.rs
@@ -50,7 +50,11 @@
 
 impl Membership {
     /// Joins the items of another node's exchange request and returns the reply.
-    pub fn answer(&mut self, now: Now, request: &ExchangeRequest) -> (ExchangeReply, Vec<Action>) {
+    pub fn answer_exchange(
+        &mut self,
+        now: Now,
+        request: &ExchangeRequest,
+    ) -> (ExchangeReply, Vec<Action>) {
         let mut actions = Vec::new();
         let reply = self.differing_buckets(request);
         self.join_exchanged(now, request.items.clone(), &mut actions);
--- a/crates/sycamore-member/src/machine/mod.rs
+++ b/crates/sycamore-member/src/machine/mod.rs
@@ -94,7 +94,7 @@
     /// Process the changed record of a member.
     MemberChanged(Member),
     /// Process the record of a member that this node itself declared suspect or dead.
-    Judged(Member),
+    Declared(Member),
     /// Process a fact learned from another node.
     FactLearnt(Fact),
     /// Read [`Membership::view`] again: the reachability of a data centre changed.
--- a/crates/sycamore-member/src/machine/suspect.rs
+++ b/crates/sycamore-member/src/machine/suspect.rs
@@ -49,7 +49,7 @@
     fn declare(&mut self, now: Now, member: Member, actions: &mut Vec<Action>) {
         let record = Item::Member(member.clone());
         if self.table.join(&record, now.mono, now.wall) == Joined::New {
-            actions.push(Action::Judged(member));
+            actions.push(Action::Declared(member));
             self.on_new_item(now, &record, actions);
             self.disseminate(now, vec![record], None, actions);
         }
--- a/crates/sycamore-member/tests/common/mod.rs
+++ b/crates/sycamore-member/tests/common/mod.rs
@@ -325,7 +325,7 @@
                     let now = self.now;
                     self.peers[i].learnt.entry(fact.key()).or_insert(now);
                 }
-                Action::ViewChanged | Action::Judged(_) => {}
+                Action::ViewChanged | Action::Declared(_) => {}
             }
         }
     }
@@ -377,7 +377,7 @@
             return;
         }
         let now = net_now(self.now, self.peers[to].skew_ms);
-        let (reply, actions) = self.peers[to].machine.answer(now, request);
+        let (reply, actions) = self.peers[to].machine.answer_exchange(now, request);
         self.perform(to, actions);
         let bytes = CALL_OVERHEAD_BYTES / 2 + reply_bytes(&reply);
         self.peers[to].bytes_out += bytes;
--- a/crates/sycamore-member/tests/model.rs
+++ b/crates/sycamore-member/tests/model.rs
@@ -276,10 +276,10 @@
                 .collect()
         };
         let offer = ExchangeRequest { items: sent_items(&first, b), ..ExchangeRequest::default() };
-        second.answer(now(3), &offer);
+        second.answer_exchange(now(3), &offer);
         let answer =
             ExchangeRequest { items: sent_items(&second, a), ..ExchangeRequest::default() };
-        first.answer(now(3), &answer);
+        first.answer_exchange(now(3), &answer);
         (nodes[a], nodes[b]) = (Some(first), Some(second));
     }
 }
--- a/crates/sycamore-node/src/peers/driver.rs
+++ b/crates/sycamore-node/src/peers/driver.rs
@@ -81,7 +81,7 @@
 
     /// Answers another node's exchange.
     pub(super) fn answer(&self, request: &ExchangeRequest) -> ExchangeReply {
-        let (reply, actions) = self.machine.borrow_mut().answer(self.now(), request);
+        let (reply, actions) = self.machine.borrow_mut().answer_exchange(self.now(), request);
         self.act(actions, None);
         reply
     }
@@ -146,7 +146,7 @@
                 }
                 Action::Exchange { peer, to, request } => self.exchange(peer, to, request),
                 Action::MemberChanged(member) => self.member_changed(&member),
-                Action::Judged(member) => self.record(&member),
+                Action::Declared(member) => self.record(&member),
                 Action::FactLearnt(fact) => self.learn(fact, teller),
                 Action::ViewChanged => self.changed.set(true),
             }
