--- a/crates/sycamore-config/tests/apply_model.rs
+++ b/crates/sycamore-config/tests/apply_model.rs
@@ -154,7 +154,9 @@
         let node = &mut state.node;
         if version < node.served.max(node.min_version) {
             let previous = node.served.max(node.min_version);
-            state.violation = Some(format!("version {version} is applied below version {previous}, which was served before or is the floor"));
+            let violation =
+                format!("version {version} is applied below served version or floor {previous}");
+            state.violation = Some(violation);
         }
         node.served = version;
         if let Some(route) =
--- a/crates/sycamore-member/src/machine/exchange.rs
+++ b/crates/sycamore-member/src/machine/exchange.rs
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Starts an exchange with a node that is missing from the table.
+    /// Starts an exchange with a node that is missing from the table, unless an exchange of whole
+    /// tables was started recently.
     pub(super) fn exchange_with_unknown(
         &mut self,
         now: Now,
--- a/crates/sycamore-member/tests/common/mod.rs
+++ b/crates/sycamore-member/tests/common/mod.rs
@@ -23,10 +23,11 @@
 /// Time after which a call to an unreachable node fails.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 /// Time and identifier of a scheduled event.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledAt(Time, u64);
 
+/// Event at a simulated node; the indices name nodes.
 enum Event {
     Tick(usize),
     Deliver { from: usize, to: usize, packet: Packet },
@@ -42,7 +43,9 @@
     pub frozen_until: Time,
     /// Offset of the node's wall clock, in milliseconds.
     pub skew_ms: i64,
+    /// Bytes sent since the last [`Net::reset_bytes`].
     pub bytes_out: u64,
+    /// Bytes received since the last [`Net::reset_bytes`].
     pub bytes_in: u64,
     /// Time at which the node first learned each fact.
     pub learnt: BTreeMap<FactKey, Time>,
--- a/crates/sycamore-member/tests/full_size.rs
+++ b/crates/sycamore-member/tests/full_size.rs
@@ -74,7 +74,8 @@
     assert!(idle / 20.0 < 1_000.0, "idle {:.0} B/s", idle / 20.0);
 }
 
-/// Guards against nodes that keep calling a draining or dead instance because they were not told.
+/// Guards against nodes that keep calling a draining or dead instance because the change of its
+/// state reaches them late or never.
 #[test]
 fn a_drain_and_a_death_reach_all_nodes_in_time() {
     let mut net = fleet(2);
--- a/crates/sycamore-member/tests/model.rs
+++ b/crates/sycamore-member/tests/model.rs
@@ -63,6 +63,7 @@
     violation: Option<String>,
 }
 
+/// Transition of the model; indices name nodes or datagrams in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Event {
     Deliver(usize),
--- a/crates/sycamore-member/tests/scenarios.rs
+++ b/crates/sycamore-member/tests/scenarios.rs
@@ -28,7 +28,7 @@
     text(args, name).parse().unwrap()
 }
 
-/// Prints how many live nodes have `node` in each state.
+/// Formats how many live nodes have `node` in each state.
 fn states(net: &Net, node: usize) -> String {
     let mut out = String::new();
     for (state, count) in net.state_counts(node) {
@@ -38,7 +38,7 @@
     out
 }
 
-/// Prints the members in the view of `node`.
+/// Formats the members in the view of `node`, one per line.
 fn view(net: &Net, node: usize) -> String {
     let view = net.peers[node].machine.view();
     let mut out = String::new();
