--- a/crates/sycamore-node/src/config/driver.rs
+++ b/crates/sycamore-node/src/config/driver.rs
@@ -103,18 +103,22 @@
     /// Accepts a complete configuration that needs no fetch: committed through this node, or read
     /// from an operator's row.
     pub(super) fn accept_pack(&self, head: ConfigHead, pack: Bytes) {
-        self.input(Input::Given { head, pack });
+        self.input(Input::PackReceived { head, pack });
         self.hub.raise(Fact::Head(head));
     }
 
     /// Handles the head read from the platform's table; `None` if the table has no head row.
     pub(super) fn handle_stored_head(&self, head: Option<ConfigHead>) {
         if let Some(head) = head {
-            self.input(Input::Heard { head, from: Source::Store, lead: Duration::ZERO });
+            self.input(Input::HeadLearned {
+                head,
+                from: Source::Store,
+                fetch_delay: Duration::ZERO,
+            });
             self.hub.raise(Fact::Head(head));
         }
         if self.floor().is_none() {
-            let floor = self.floor.borrow_mut().read(head);
+            let floor = self.floor.borrow_mut().on_head_row(head);
             self.apply_floor(floor);
         }
     }
@@ -125,7 +129,7 @@
         if self.floor().is_none() {
             let (instance, data_centre) = (&peer.instance, &peer.data_centre);
             let peer_head = PeerHead { instance, data_centre, head };
-            let floor = self.floor.borrow_mut().told(peer_head);
+            let floor = self.floor.borrow_mut().on_peer_head(peer_head);
             self.apply_floor(floor);
         }
     }
@@ -133,8 +137,8 @@
     /// Handles a head that peers spread. A node that watches operators' rows delays the fetch, as
     /// the complete configuration is probably on its way from the platform.
     pub(super) fn handle_spread_head(&self, head: ConfigHead) {
-        let lead = if self.watches_rows.get() { ROW_TRANSFER_TIME } else { Duration::ZERO };
-        self.input(Input::Heard { head, from: Source::Peer, lead });
+        let fetch_delay = if self.watches_rows.get() { ROW_TRANSFER_TIME } else { Duration::ZERO };
+        self.input(Input::HeadLearned { head, from: Source::Peer, fetch_delay });
     }
 
     /// Records that a peer lacked objects of `head`.
--- a/crates/sycamore-node/src/config/follow.rs
+++ b/crates/sycamore-node/src/config/follow.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use sycamore_config::follow::{next, Next};
+use sycamore_config::follow::{choose_read, NextRead};
 use sycamore_config::{Bundle, Encoded};
 use sycamore_platform::backoff::{Backoff, BackoffSettings};
 use sycamore_platform::{Error, PageQuery, Result, Revision, Row, Table};
@@ -93,9 +93,9 @@
             Ok(changes) => {
                 changes.rows.iter().for_each(|row| self.handle_row(row));
                 let applied = self.driver.hub.snapshot.borrow().version;
-                self.at = match next(applied, self.highest_spread_version()) {
-                    Next::Changes => Some(changes.at),
-                    Next::Rows => None,
+                self.at = match choose_read(applied, self.highest_spread_version()) {
+                    NextRead::Changes => Some(changes.at),
+                    NextRead::Rows => None,
                 };
                 Ok(())
             }
--- a/crates/sycamore-node/src/peers/driver.rs
+++ b/crates/sycamore-node/src/peers/driver.rs
@@ -83,7 +83,7 @@
 
     /// Answers an exchange that another node started.
     pub(super) fn answer(&self, request: &ExchangeRequest) -> ExchangeReply {
-        let (reply, actions) = self.machine.borrow_mut().answer(self.now(), request);
+        let (reply, actions) = self.machine.borrow_mut().answer_exchange(self.now(), request);
         self.execute(actions, None);
         reply
     }
@@ -148,7 +148,7 @@
                 }
                 Action::Exchange { peer, to, request } => self.queue_exchange(peer, to, request),
                 Action::MemberChanged(member) => self.member_changed(&member),
-                Action::Judged(member) => self.record_member(&member),
+                Action::Declared(member) => self.record_member(&member),
                 Action::FactLearnt(fact) => self.learn(fact, source),
                 Action::ViewChanged => self.view_changed.set(true),
             }
