--- a/crates/sycamore-bench/src/measure/moves/node.rs
+++ b/crates/sycamore-bench/src/measure/moves/node.rs
@@ -135,7 +135,7 @@
     /// The report that is due, if any.
     pub fn report(&mut self, ms: u64) -> Option<Report> {
         let time = Time::from_millis(ms);
-        let report = match self.collector.report(time, self.control.signed()) {
+        let report = match self.collector.report(time, self.control.confirmed()) {
             Some(report) => report,
             None if ms.saturating_sub(self.last_report_ms) >= REPEAT_MS => self.collector.repeat(),
             None => return None,
--- a/crates/sycamore-moves/src/control/machine.rs
+++ b/crates/sycamore-moves/src/control/machine.rs
@@ -42,8 +42,8 @@
     cleared: BTreeMap<u16, WallTime>,
     bad: Option<(String, WallTime)>,
     aborted: Option<WallTime>,
-    signed: bool,
-    signed_by_all: Option<WallTime>,
+    confirmed: bool,
+    confirmed_by_all: Option<WallTime>,
     hold: Option<Hold>,
     peers: Peers,
     registry_read: bool,
@@ -67,8 +67,8 @@
             cleared: BTreeMap::new(),
             bad: None,
             aborted: None,
-            signed: false,
-            signed_by_all: None,
+            confirmed: false,
+            confirmed_by_all: None,
             hold: None,
             peers: Peers::default(),
             registry_read: false,
@@ -137,12 +137,12 @@
         // Steps are few, so the conversion loses nothing.
         let watch_clean = self.cleared_steps() > self.row.schedule.watch_step();
         if watch_clean && !self.is_withdrawn() && self.is_new_version(&self.me) {
-            self.signed = true;
+            self.confirmed = true;
         }
     }
 
     fn judge(&mut self, now: Moment) -> Vec<Action> {
-        if !self.is_merger() || self.signed || self.is_withdrawn() {
+        if !self.is_merger() || self.confirmed || self.is_withdrawn() {
             return Vec::new();
         }
         let Some(step) = self.open_step(now.wall) else { return Vec::new() };
@@ -222,9 +222,9 @@
             let reason = "aborted by an operator".to_owned();
             return Some((OutcomeKind::TakenBack, Cause::Aborted, reason, at));
         }
-        if self.is_signed_by_all(now.time) {
+        if self.is_confirmed_by_all(now.time) {
             let reason = "the watch period passed clean on every live instance".to_owned();
-            let at = *self.signed_by_all.get_or_insert(now.wall);
+            let at = *self.confirmed_by_all.get_or_insert(now.wall);
             return Some((OutcomeKind::Done, Cause::Proven, reason, at));
         }
         let watch_clean = self.cleared_steps() > self.row.schedule.watch_step();
@@ -249,12 +249,12 @@
         format!("{why} by the deadline, at step {at} of {}", self.row.schedule.steps.len())
     }
 
-    fn is_signed_by_all(&self, now: Time) -> bool {
+    fn is_confirmed_by_all(&self, now: Time) -> bool {
         let watch_clean = self.cleared_steps() > self.row.schedule.watch_step();
         let mut needed = self.needed(now).peekable();
         watch_clean
             && needed.peek().is_some()
-            && needed.all(|source| self.merger.has_signed(&source))
+            && needed.all(|source| self.merger.has_confirmed(&source))
     }
 
     fn needed(&self, now: Time) -> impl Iterator<Item = Source> + '_ {
@@ -336,9 +336,9 @@
         (&self.row, self.revision)
     }
 
-    /// Whether this node has signed the watch period.
-    pub fn signed(&self) -> bool {
-        self.signed
+    /// Whether this node has confirmed the watch period.
+    pub fn confirmed(&self) -> bool {
+        self.confirmed
     }
 
     /// What the open step waits for.
--- a/crates/sycamore-moves/src/control/merger.rs
+++ b/crates/sycamore-moves/src/control/merger.rs
@@ -151,9 +151,9 @@
         Ok(step)
     }
 
-    /// Whether `source` has signed.
-    pub fn has_signed(&self, source: &Source) -> bool {
-        self.ledger.report_of(source).is_some_and(|report| report.signed)
+    /// Whether `source` has confirmed.
+    pub fn has_confirmed(&self, source: &Source) -> bool {
+        self.ledger.report_of(source).is_some_and(|report| report.confirmed)
     }
 
     /// The counts so far.
--- a/crates/sycamore-moves/src/control/mod.rs
+++ b/crates/sycamore-moves/src/control/mod.rs
@@ -1,8 +1,8 @@
 //! One move as one node runs it: the share it applies, and, at the nodes of the new version, the
 //! judgement.
 //!
-//! Only nodes beside the new version judge, and a node that has signed the watch period as clean
-//! judges no more. The move is done only when every live instance of the new version has signed, so
+//! Only nodes beside the new version judge, and a node that has confirmed the watch period as clean
+//! judges no more. The move is done only when every live instance of the new version has confirmed, so
 //! no verdict can fall before or after that the outcome does not know of.
 
 mod io;
--- a/crates/sycamore-moves/src/evidence/codec.rs
+++ b/crates/sycamore-moves/src/evidence/codec.rs
@@ -22,7 +22,7 @@
     #[prost(string, tag = "5")]
     version: String,
     #[prost(bool, tag = "6")]
-    signed: bool,
+    confirmed: bool,
     #[prost(uint64, tag = "7")]
     cold: u64,
     #[prost(uint64, tag = "8")]
@@ -96,7 +96,7 @@
         generation: report.generation.0,
         seq: report.seq,
         version: report.version.to_string(),
-        signed: report.signed,
+        confirmed: report.confirmed,
         cold: report.totals.cold,
         crashes: report.totals.crashes,
         callers: report.totals.callers.iter().flat_map(|c| [c.calls, c.bad]).collect(),
@@ -146,7 +146,7 @@
         generation: Incarnation(wire.generation),
         seq: wire.seq,
         version: wire.version.parse()?,
-        signed: wire.signed,
+        confirmed: wire.confirmed,
         totals,
     })
 }
--- a/crates/sycamore-moves/src/evidence/collector.rs
+++ b/crates/sycamore-moves/src/evidence/collector.rs
@@ -71,7 +71,7 @@
             generation: member.incarnation,
             seq: 0,
             version: member.version.clone(),
-            signed: false,
+            confirmed: false,
             totals: Totals::default(),
         };
         Self {
@@ -129,11 +129,11 @@
     }
 
     /// The report to send at `now`; `None` where nothing changed since the last one.
-    pub fn report(&mut self, now: Time, signed: bool) -> Option<Report> {
+    pub fn report(&mut self, now: Time, confirmed: bool) -> Option<Report> {
         self.roll(now);
         self.flush();
-        if self.report.signed != signed {
-            self.report.signed = signed;
+        if self.report.confirmed != confirmed {
+            self.report.confirmed = confirmed;
             self.changed = true;
         }
         if !std::mem::take(&mut self.changed) {
--- a/crates/sycamore-moves/src/evidence/mod.rs
+++ b/crates/sycamore-moves/src/evidence/mod.rs
@@ -36,7 +36,7 @@
     pub version: UpstreamVersion,
     /// The node has agreed that the watch period was clean, and will find nothing against the
     /// version any more.
-    pub signed: bool,
+    pub confirmed: bool,
     /// The counters.
     pub totals: Totals,
 }
--- a/crates/sycamore-moves/tests/evidence.rs
+++ b/crates/sycamore-moves/tests/evidence.rs
@@ -22,7 +22,7 @@
         report.incarnation = Incarnation(u64::from(u8::arbitrary(g) % 2));
         report.totals.crashes = seq;
         report.totals.callers[usize::try_from(seq).expect("small") % CALLER_BUCKETS].calls = seq;
-        report.signed = seq > 6;
+        report.confirmed = seq > 6;
         AnyReport(report)
     }
 }
@@ -146,7 +146,7 @@
     let mut collector = collector();
     assert!(collector.report(Time(0), false).is_some());
     assert!(collector.report(Time(0), false).is_none());
-    assert!(collector.report(Time(0), true).expect("signed").signed);
+    assert!(collector.report(Time(0), true).expect("confirmed").confirmed);
     let again = collector.repeat();
     assert_eq!(again.seq, 3);
 }
--- a/crates/sycamore-moves/tests/model.rs
+++ b/crates/sycamore-moves/tests/model.rs
@@ -39,7 +39,7 @@
     None,
     /// The table takes writes whatever the revision.
     NoCompareAndSet,
-    /// Reports say that they are signed though they are not.
+    /// Reports say that they are confirmed though they are not.
     ForgedSignature,
     /// A region that is cut off counts out at once.
     CutRegionIgnored,
@@ -56,7 +56,7 @@
         let (row, revision) = self.0.row();
         let control = &self.0;
         let verdict = control.verdict().map(str::to_owned);
-        (row.outcome.clone(), revision, control.signed(), verdict, control.phase(at().wall))
+        (row.outcome.clone(), revision, control.confirmed(), verdict, control.phase(at().wall))
     }
 }
 
@@ -188,19 +188,19 @@
         }
     }
 
-    /// What `index` says now: clean or failing calls, signed or not.
+    /// What `index` says now: clean or failing calls, confirmed or not.
     fn report(&self, index: usize, mutant: Mutant) -> Report {
         let failing = index == 1 && self.bad;
-        let signed = self.nodes.get(index).is_some_and(|node| node.0.signed());
-        let signed = signed || (mutant == Mutant::ForgedSignature && index < 2);
-        let seq = 1 + 2 * u64::from(failing) + 4 * u64::from(signed);
+        let confirmed = self.nodes.get(index).is_some_and(|node| node.0.confirmed());
+        let confirmed = confirmed || (mutant == Mutant::ForgedSignature && index < 2);
+        let seq = 1 + 2 * u64::from(failing) + 4 * u64::from(confirmed);
         let failed = if failing { 60 } else { 0 };
         let version = if index < 2 { "2" } else { "1" };
         let name = sender(index).split(' ').next().expect("a word");
         let mut report = report("m", name, version, seq, 400, failed);
         report.incarnation = Incarnation(self.incarnation(index));
         report.generation = report.incarnation;
-        report.signed = signed;
+        report.confirmed = confirmed;
         report
     }
 
--- a/crates/sycamore-moves/tests/support/mod.rs
+++ b/crates/sycamore-moves/tests/support/mod.rs
@@ -54,7 +54,7 @@
         generation: Incarnation(1),
         seq,
         version: id(version),
-        signed: false,
+        confirmed: false,
         totals,
     }
 }
--- a/crates/sycamore-moves/tests/town/mod.rs
+++ b/crates/sycamore-moves/tests/town/mod.rs
@@ -23,7 +23,7 @@
     control: MoveControl,
     peer: Peer,
     paused: bool,
-    signed: bool,
+    confirmed: bool,
     seq: u64,
     ok: u64,
     failed: u64,
@@ -309,9 +309,9 @@
                 node.said.clone_from(&text);
                 changed.entry(text).or_default().push(name);
             }
-            if node.control.signed() && !node.signed {
-                node.signed = true;
-                changed.entry("signed".to_owned()).or_default().push(name);
+            if node.control.confirmed() && !node.confirmed {
+                node.confirmed = true;
+                changed.entry("confirmed".to_owned()).or_default().push(name);
             }
         }
         for (text, names) in changed {
@@ -337,7 +337,7 @@
     fn report(&self) -> Report {
         let (name, version) = (self.peer.instance.as_str(), self.peer.version.as_str());
         let report = report("m", name, version, self.seq, self.ok, self.failed);
-        Report { generation: self.peer.incarnation, signed: self.control.signed(), ..report }
+        Report { generation: self.peer.incarnation, confirmed: self.control.confirmed(), ..report }
     }
 }
 
@@ -355,7 +355,7 @@
         control,
         peer,
         paused: false,
-        signed: false,
+        confirmed: false,
         seq: 0,
         ok: 0,
         failed: 0,
--- a/crates/sycamore-node/src/moves/evidence.rs
+++ b/crates/sycamore-node/src/moves/evidence.rs
@@ -95,12 +95,12 @@
 
 fn due(state: &State, entry: &mut Entry) -> Option<Report> {
     let now = state.now().time;
-    let signed = entry.control.signed();
+    let confirmed = entry.control.confirmed();
     let silent = now.since(entry.sent) >= REPEAT;
     let generation = state.me()?.incarnation;
     let collector = collector(state, entry)?;
     collector.known_as(generation);
-    collector.report(now, signed).or_else(|| silent.then(|| collector.repeat()))
+    collector.report(now, confirmed).or_else(|| silent.then(|| collector.repeat()))
 }
 
 fn send_to(state: &Rc<State>, mv: &MoveId, merger: InstanceId, report: &Report) {
