--- a/crates/sycamore-bench/src/measure/moves/witness.rs
+++ b/crates/sycamore-bench/src/measure/moves/witness.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use sycamore_moves::evidence::{Collector, CollectorOptions, Ledger};
-use sycamore_moves::verdict::{Judge, JudgeOptions};
+use sycamore_moves::verdict::{VerdictOptions, VerdictTests};
 use sycamore_types::prelude::*;
 
 /// Time between two looks, in milliseconds; the nodes look every 200.
@@ -12,7 +12,7 @@
 pub struct Witness {
     collectors: BTreeMap<InstanceId, Collector>,
     ledger: Ledger,
-    judge: Judge,
+    judge: VerdictTests,
     from: UpstreamVersion,
     to: UpstreamVersion,
     /// When the evidence sufficed, in milliseconds.
@@ -31,7 +31,7 @@
         };
         let collectors =
             members.map(|member| (member.instance.clone(), collector(member))).collect();
-        let judge = Judge::new(JudgeOptions::default(), Time(0));
+        let judge = VerdictTests::new(VerdictOptions::default(), Time(0));
         Self { collectors, ledger: Ledger::default(), judge, from, to, sufficed_ms: None }
     }
 
@@ -62,7 +62,7 @@
             }
         }
         let (new, old) = (self.ledger.totals(&self.to), self.ledger.totals(&self.from));
-        if self.judge.step(time, new, old).is_some() {
+        if self.judge.evaluate(time, new, old).is_some() {
             self.sufficed_ms = Some(ms);
         }
     }
--- a/crates/sycamore-moves/src/control/merger.rs
+++ b/crates/sycamore-moves/src/control/merger.rs
@@ -2,7 +2,7 @@
 
 use crate::evidence::{Bases, Ledger, Report, Source};
 use crate::plan::{MoveRow, Summary};
-use crate::verdict::{Finding, Judge, JudgeOptions};
+use crate::verdict::{Finding, VerdictOptions, VerdictTests};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use sycamore_types::prelude::*;
@@ -21,7 +21,7 @@
     /// Facts on a move are kept this long after its deadline.
     pub keep: Duration,
     /// The judge's bounds.
-    pub judge: JudgeOptions,
+    pub verdict: VerdictOptions,
 }
 
 impl Default for ControlOptions {
@@ -32,7 +32,7 @@
             retire: Duration::from_secs(30),
             retry: Duration::from_secs(2),
             keep: Duration::from_secs(86_400),
-            judge: JudgeOptions::default(),
+            verdict: VerdictOptions::default(),
         }
     }
 }
@@ -62,7 +62,7 @@
     /// first: what came before can no longer be told apart by time.
     bases: Bases,
     heard: BTreeMap<InstanceId, (Time, UpstreamVersion)>,
-    judge: Judge,
+    judge: VerdictTests,
     step: Option<(usize, WallTime)>,
 }
 
@@ -73,7 +73,7 @@
             ledger: Ledger::default(),
             bases: Bases::default(),
             heard: BTreeMap::new(),
-            judge: Judge::new(options.judge.clone(), now),
+            judge: VerdictTests::new(options.verdict.clone(), now),
             step: None,
         }
     }
@@ -106,7 +106,7 @@
     pub fn judge(&mut self, now: Time, row: &MoveRow) -> Option<Finding> {
         let new = self.ledger.totals_since(&row.spec.to, &self.bases);
         let old = self.ledger.totals_since(&row.spec.from, &self.bases);
-        self.judge.step(now, new, old)
+        self.judge.evaluate(now, new, old)
     }
 
     /// Notes that `step` is open, since `opened`.
--- a/crates/sycamore-moves/src/verdict/judge.rs
+++ b/crates/sycamore-moves/src/verdict/judge.rs
@@ -10,7 +10,7 @@
 
 /// Error rates and tolerances of a verdict.
 #[derive(Debug, Clone)]
-pub struct JudgeOptions {
+pub struct VerdictOptions {
     /// Evidence that the pair test of all calls must reach; its inverse bounds the chance, per
     /// restart, that an incident of the whole service reads as a fault of the new version.
     pub pair_evidence: f64,
@@ -40,7 +40,7 @@
     pub stratum_calls: u64,
 }
 
-impl Default for JudgeOptions {
+impl Default for VerdictOptions {
     fn default() -> Self {
         Self {
             pair_evidence: 100.0,
@@ -98,8 +98,8 @@
 /// The judge of one move. It needs the counters only; duplicates and reordering were dealt with when
 /// they were merged.
 #[derive(Debug, Clone)]
-pub struct Judge {
-    options: JudgeOptions,
+pub struct VerdictTests {
+    options: VerdictOptions,
     tests: BTreeMap<(Signal, Scope), Test>,
     stratum: Mark,
     stratum_start: Time,
@@ -110,9 +110,9 @@
     suspicion: bool,
 }
 
-impl Judge {
+impl VerdictTests {
     /// A judge that starts at `now`.
-    pub fn new(options: JudgeOptions, now: Time) -> Self {
+    pub fn new(options: VerdictOptions, now: Time) -> Self {
         Self {
             options,
             tests: BTreeMap::new(),
@@ -127,7 +127,7 @@
     }
 
     /// Takes in the counters of both versions; the first finding, if there is one.
-    pub fn step(&mut self, now: Time, new: Totals, old: Totals) -> Option<Finding> {
+    pub fn evaluate(&mut self, now: Time, new: Totals, old: Totals) -> Option<Finding> {
         self.latest = Mark { new, old };
         if self.cuts.is_empty() {
             self.cuts = slow_cuts(&self.latest.old);
--- a/crates/sycamore-moves/src/verdict/mod.rs
+++ b/crates/sycamore-moves/src/verdict/mod.rs
@@ -16,7 +16,7 @@
 mod sequential;
 
 pub use finding::{Finding, Scope, Signal};
-pub use judge::{Judge, JudgeOptions};
+pub use judge::{VerdictOptions, VerdictTests};
 pub use proof::Proof;
 pub use sample::{Pair, Sample};
 pub use sequential::{PairTest, ReferenceTest};
--- a/crates/sycamore-moves/tests/verdict.rs
+++ b/crates/sycamore-moves/tests/verdict.rs
@@ -4,7 +4,7 @@
 
 use support::id;
 use sycamore_moves::evidence::{Cell, Counts, Totals};
-use sycamore_moves::verdict::{Judge, JudgeOptions, Pair, Proof, Sample, Scope, Signal};
+use sycamore_moves::verdict::{Pair, Proof, Sample, Scope, Signal, VerdictOptions, VerdictTests};
 use sycamore_types::prelude::*;
 
 /// What each version does in one second: calls, failed ones, latency bucket of the rest.
@@ -23,7 +23,7 @@
 }
 
 struct Bench {
-    judge: Judge,
+    judge: VerdictTests,
     time: u64,
     new: Totals,
     old: Totals,
@@ -31,7 +31,7 @@
 
 impl Bench {
     fn new() -> Self {
-        let judge = Judge::new(JudgeOptions::default(), Time(0));
+        let judge = VerdictTests::new(VerdictOptions::default(), Time(0));
         let mut bench = Self { judge, time: 0, new: Totals::default(), old: Totals::default() };
         // What the old version did before the move began.
         add(&mut bench.old, "tickets", 5, GOOD_1000);
@@ -42,7 +42,7 @@
         add(&mut self.new, "tickets", 4, new);
         add(&mut self.old, "tickets", 4, old);
         self.time += 1;
-        self.judge.step(Time::from_secs(self.time), self.new.clone(), self.old.clone())
+        self.judge.evaluate(Time::from_secs(self.time), self.new.clone(), self.old.clone())
     }
 }
 
@@ -111,7 +111,7 @@
         add(&mut bench.new, "tickets", 9, slow);
         add(&mut bench.old, "tickets", 1, good(5));
         let at = Time::from_secs(second);
-        assert!(bench.judge.step(at, bench.new.clone(), bench.old.clone()).is_none());
+        assert!(bench.judge.evaluate(at, bench.new.clone(), bench.old.clone()).is_none());
     }
 }
 
