--- a/crates/sycamore-bench/src/measure/moves/node.rs
+++ b/crates/sycamore-bench/src/measure/moves/node.rs
@@ -123,7 +123,7 @@
 
     /// The upstream crashes: every call that runs on it breaks.
     fn crash(&mut self, ms: u64, outcome: CallOutcome) -> Vec<CallOutcome> {
-        self.collector.crash();
+        self.collector.record_crash();
         self.down_until_ms = ms + super::upstream::DOWN_MS;
         let running = std::mem::take(&mut self.running).into_iter().map(|call| call.outcome);
         std::iter::once(outcome)
--- a/crates/sycamore-bench/src/measure/moves/witness.rs
+++ b/crates/sycamore-bench/src/measure/moves/witness.rs
@@ -40,7 +40,7 @@
         if let Some(collector) = self.collectors.get_mut(instance) {
             collector.record(Time::from_millis(ms), outcome);
             if crash {
-                collector.crash();
+                collector.record_crash();
             }
         }
     }
--- a/crates/sycamore-moves/src/evidence/collector.rs
+++ b/crates/sycamore-moves/src/evidence/collector.rs
@@ -115,13 +115,13 @@
     }
 
     /// Counts a crash of the upstream.
-    pub fn crash(&mut self) {
+    pub fn record_crash(&mut self) {
         self.report.totals.crashes += 1;
         self.changed = true;
     }
 
     /// Takes note that membership knows the process by `generation` now.
-    pub fn known_as(&mut self, generation: Incarnation) {
+    pub fn update_generation(&mut self, generation: Incarnation) {
         if generation > self.report.generation {
             self.report.generation = generation;
             self.changed = true;
--- a/crates/sycamore-node/src/moves/evidence.rs
+++ b/crates/sycamore-node/src/moves/evidence.rs
@@ -44,7 +44,7 @@
         if was_serving && now.is_none() {
             for entry in state.moves.borrow_mut().values_mut() {
                 if let Some(collector) = &mut entry.collector {
-                    collector.crash();
+                    collector.record_crash();
                 }
             }
         }
@@ -99,7 +99,7 @@
     let silent = now.since(entry.sent) >= REPEAT;
     let generation = state.me()?.incarnation;
     let collector = collector(state, entry)?;
-    collector.known_as(generation);
+    collector.update_generation(generation);
     collector.report(now, confirmed).or_else(|| silent.then(|| collector.repeat()))
 }
 
