--- a/crates/sycamore-moves/src/control/machine.rs
+++ b/crates/sycamore-moves/src/control/machine.rs
@@ -158,7 +158,7 @@
         let needed: Vec<Source> = self.needed(now.time).collect();
         let old_seen = self.peers.old_seen();
         let at = (now.time, now.wall);
-        match self.merger.clears(at, &self.row, &needed, old_seen, self.options.fresh) {
+        match self.merger.clears(at, &self.row, &needed, old_seen, self.options.report_max_age) {
             Err(hold) => {
                 self.hold = Some(hold);
                 Vec::new()
@@ -190,7 +190,7 @@
             // Schedules have a handful of steps.
             step: u16::try_from(step).unwrap_or(u16::MAX),
             at: Stamp { wall: now.wall, logical: 0 },
-            until: self.row.spec.deadline + self.options.keep,
+            until: self.row.spec.deadline + self.options.fact_retention,
         }
     }
 
@@ -200,7 +200,7 @@
             return Vec::new();
         }
         let Some((kind, cause, reason, at)) = self.ending(now) else { return Vec::new() };
-        if self.tried.is_some_and(|tried| now.time.since(tried) < self.options.retry) {
+        if self.tried.is_some_and(|tried| now.time.since(tried) < self.options.retry_interval) {
             return Vec::new();
         }
         self.tried = Some(now.time);
@@ -258,7 +258,7 @@
     }
 
     fn needed(&self, now: Time) -> impl Iterator<Item = Source> + '_ {
-        self.peers.needed(now, self.options.retire)
+        self.peers.needed(now, self.options.departure_grace)
     }
 
     /// Nodes that merge the evidence: some of those beside the new version.
--- a/crates/sycamore-moves/src/control/merger.rs
+++ b/crates/sycamore-moves/src/control/merger.rs
@@ -13,13 +13,13 @@
     /// Nodes that merge the evidence of a move.
     pub mergers: usize,
     /// A report is fresh for this long.
-    pub fresh: Duration,
+    pub report_max_age: Duration,
     /// An instance that is gone this long counts out, if its region is seen.
-    pub retire: Duration,
+    pub departure_grace: Duration,
     /// Time between two tries to write the outcome.
-    pub retry: Duration,
+    pub retry_interval: Duration,
     /// Facts on a move are kept this long after its deadline.
-    pub keep: Duration,
+    pub fact_retention: Duration,
     /// The judge's bounds.
     pub verdict: VerdictOptions,
 }
@@ -28,10 +28,10 @@
     fn default() -> Self {
         Self {
             mergers: 2,
-            fresh: Duration::from_secs(4),
-            retire: Duration::from_secs(30),
-            retry: Duration::from_secs(2),
-            keep: Duration::from_secs(86_400),
+            report_max_age: Duration::from_secs(4),
+            departure_grace: Duration::from_secs(30),
+            retry_interval: Duration::from_secs(2),
+            fact_retention: Duration::from_secs(86_400),
             verdict: VerdictOptions::default(),
         }
     }
--- a/crates/sycamore-moves/tests/model.rs
+++ b/crates/sycamore-moves/tests/model.rs
@@ -220,11 +220,15 @@
 
 impl EndOfMove {
     fn options(&self) -> ControlOptions {
-        let retire = match self.mutant {
+        let departure_grace = match self.mutant {
             Mutant::CutRegionIgnored => Duration::ZERO,
             _ => Duration::from_secs(30),
         };
-        ControlOptions { retry: Duration::ZERO, retire, ..ControlOptions::default() }
+        ControlOptions {
+            retry_interval: Duration::ZERO,
+            departure_grace,
+            ..ControlOptions::default()
+        }
     }
 
     fn fresh(&self, index: usize) -> Node {
--- a/crates/sycamore-node/src/moves/state.rs
+++ b/crates/sycamore-node/src/moves/state.rs
@@ -103,7 +103,7 @@
         }
         let watch = row.schedule.steps[row.schedule.watch_step()].hold;
         let options = ControlOptions {
-            retire: watch.clamp(MIN_RETIRE, MAX_RETIRE),
+            departure_grace: watch.clamp(MIN_RETIRE, MAX_RETIRE),
             ..ControlOptions::default()
         };
         let mv = row.spec.mv.clone();
