--- a/crates/sycamore-moves/src/control/machine.rs
+++ b/crates/sycamore-moves/src/control/machine.rs
@@ -1,7 +1,7 @@
 //! The state machine of one move at one node.
 
 use super::io::{Action, Input, Moment};
-use super::merger::{ControlOptions, Hold, Merger};
+use super::merger::{ControlOptions, HoldReason, Merger};
 use super::peers::Peers;
 use super::rendezvous::choose;
 use crate::evidence::Source;
@@ -44,7 +44,7 @@
     aborted: Option<WallTime>,
     confirmed: bool,
     confirmed_by_all: Option<WallTime>,
-    hold: Option<Hold>,
+    hold: Option<HoldReason>,
     peers: Peers,
     registry_read: bool,
     merger: Merger,
@@ -241,9 +241,9 @@
             return "no instance of the new version was up at the deadline".to_owned();
         }
         let why = match self.hold {
-            Some(Hold::Cut) => "too few nodes reported",
-            Some(Hold::Time) => "the schedule was still running",
-            Some(Hold::Evidence) | None => "the evidence did not suffice",
+            Some(HoldReason::TooFewReports) => "too few nodes reported",
+            Some(HoldReason::MinHoldTime) => "the schedule was still running",
+            Some(HoldReason::Evidence) | None => "the evidence did not suffice",
         };
         let at = self.cleared_steps() + 1;
         format!("{why} by the deadline, at step {at} of {}", self.row.schedule.steps.len())
@@ -342,7 +342,7 @@
     }
 
     /// What the open step waits for.
-    pub fn hold(&self) -> Option<Hold> {
+    pub fn hold_reason(&self) -> Option<HoldReason> {
         self.hold
     }
 
--- a/crates/sycamore-moves/src/control/merger.rs
+++ b/crates/sycamore-moves/src/control/merger.rs
@@ -1,6 +1,6 @@
 //! What a merging node holds: the merged evidence, the judge, and the holds of steps.
 
-use crate::evidence::{Bases, Ledger, Report, Source};
+use crate::evidence::{Baselines, Ledger, Report, Source};
 use crate::plan::{MoveRow, Summary};
 use crate::verdict::{Finding, VerdictOptions, VerdictTests};
 use std::collections::BTreeMap;
@@ -45,11 +45,11 @@
 
 /// Why a step is not cleared yet, for the report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Hold {
+pub enum HoldReason {
     /// The step has not been held long enough.
-    Time,
+    MinHoldTime,
     /// Too few nodes report: this node may be cut off.
-    Cut,
+    TooFewReports,
     /// The evidence does not suffice.
     Evidence,
 }
@@ -60,7 +60,7 @@
     ledger: Ledger,
     /// A node that begins to merge in the middle of a move starts from the counters that it hears
     /// first: what came before can no longer be told apart by time.
-    bases: Bases,
+    bases: Baselines,
     heard: BTreeMap<InstanceId, (Time, UpstreamVersion)>,
     judge: VerdictTests,
     step: Option<(usize, WallTime)>,
@@ -71,7 +71,7 @@
     pub fn new(options: &ControlOptions, now: Time) -> Self {
         Self {
             ledger: Ledger::default(),
-            bases: Bases::default(),
+            bases: Baselines::default(),
             heard: BTreeMap::new(),
             judge: VerdictTests::new(options.verdict.clone(), now),
             step: None,
@@ -122,7 +122,7 @@
     /// cut off clears nothing.
     ///
     /// # Errors
-    /// The [`Hold`] that is in force.
+    /// The [`HoldReason`] that is in force.
     pub fn clears(
         &self,
         (now, wall): (Time, WallTime),
@@ -130,11 +130,11 @@
         needed: &[Source],
         old_expected: bool,
         fresh: Duration,
-    ) -> Result<usize, Hold> {
-        let (step, opened) = self.step.ok_or(Hold::Time)?;
-        let agreed = row.schedule.steps.get(step).ok_or(Hold::Time)?;
+    ) -> Result<usize, HoldReason> {
+        let (step, opened) = self.step.ok_or(HoldReason::MinHoldTime)?;
+        let agreed = row.schedule.steps.get(step).ok_or(HoldReason::MinHoldTime)?;
         if wall.since(opened) < row.schedule.hold(step, opened) {
-            return Err(Hold::Time);
+            return Err(HoldReason::MinHoldTime);
         }
         let is_fresh = |at: &Time| now.since(*at) <= fresh;
         let heard_of = |source: &&Source| self.heard.get(&source.instance);
@@ -143,10 +143,10 @@
         let mut fresh_ones = self.heard.values().filter(|(at, _)| is_fresh(at));
         let old = fresh_ones.any(|(_, version)| *version == row.spec.from);
         if heard * 2 <= needed.len() || (old_expected && !old) {
-            return Err(Hold::Cut);
+            return Err(HoldReason::TooFewReports);
         }
         if !self.judge.clears(agreed.margin) {
-            return Err(Hold::Evidence);
+            return Err(HoldReason::Evidence);
         }
         Ok(step)
     }
--- a/crates/sycamore-moves/src/control/mod.rs
+++ b/crates/sycamore-moves/src/control/mod.rs
@@ -13,6 +13,6 @@
 
 pub use io::{Action, Input, Moment};
 pub use machine::{MoveControl, Phase, Split};
-pub use merger::{ControlOptions, Hold};
+pub use merger::{ControlOptions, HoldReason};
 pub use peers::{Peer, Peers};
 pub use rendezvous::{choose, score};
--- a/crates/sycamore-moves/src/evidence/ledger.rs
+++ b/crates/sycamore-moves/src/evidence/ledger.rs
@@ -20,7 +20,7 @@
 }
 
 /// Counters that each process had when it was first heard of.
-pub type Bases = BTreeMap<Source, Totals>;
+pub type Baselines = BTreeMap<Source, Totals>;
 
 /// Most processes whose reports are kept.
 const MAX_SOURCES: usize = 256;
@@ -48,7 +48,7 @@
     }
 
     /// The sum of what the processes of `version` counted since `bases`.
-    pub fn totals_since(&self, version: &UpstreamVersion, bases: &Bases) -> Totals {
+    pub fn totals_since(&self, version: &UpstreamVersion, bases: &Baselines) -> Totals {
         let mut totals = Totals::default();
         for (source, report) in &self.reports {
             match bases.get(source) {
--- a/crates/sycamore-moves/src/report/mod.rs
+++ b/crates/sycamore-moves/src/report/mod.rs
@@ -5,7 +5,7 @@
 
 pub use table::table;
 
-use crate::control::{Hold, MoveControl, Phase};
+use crate::control::{HoldReason, MoveControl, Phase};
 use crate::plan::{Cause, MoveRow, OutcomeKind, Summary};
 use serde::{Deserialize, Serialize};
 use sycamore_types::prelude::*;
@@ -122,11 +122,11 @@
 fn progress(control: &MoveControl, step: usize) -> String {
     let (row, _) = control.row();
     let steps = row.schedule.steps.len();
-    let waits = match control.hold() {
+    let waits = match control.hold_reason() {
         None => "is under way",
-        Some(Hold::Time) => "is held as scheduled",
-        Some(Hold::Cut) => "waits, as too few nodes report",
-        Some(Hold::Evidence) => "waits for more evidence",
+        Some(HoldReason::MinHoldTime) => "is held as scheduled",
+        Some(HoldReason::TooFewReports) => "waits, as too few nodes report",
+        Some(HoldReason::Evidence) => "waits for more evidence",
     };
     if step > row.schedule.watch_step() {
         return "all traffic moved; not every live instance has confirmed the watch period"
