--- a/crates/sycamore-moves/src/control/io.rs
+++ b/crates/sycamore-moves/src/control/io.rs
@@ -1,4 +1,4 @@
-//! What happens to the machine of a move, and what it wants done.
+//! Inputs and actions of a move's state machine.
 
 use super::peers::Peer;
 use crate::evidence::Report;
@@ -6,54 +6,55 @@
 use std::collections::BTreeSet;
 use sycamore_types::prelude::*;
 
-/// A moment on both of a node's clocks.
+/// Reading of a node's monotonic clock and wall clock at one instant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Moment {
-    /// The monotonic clock.
+    /// Monotonic time of the node.
     pub time: Time,
-    /// The civil clock.
+    /// Wall-clock time of the node.
     pub wall: WallTime,
 }
 
-/// What happens to the machine.
+/// Event that [`MoveControl`](super::MoveControl) handles.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// The agreed row, as read or as spread.
+    /// The move's row was read from the platform's table or received from a peer.
     Row {
-        /// The row.
+        /// Row of the move.
         row: Box<MoveRow>,
-        /// Its revision; a lower one than known is ignored.
+        /// Revision of the row; a row that is not newer than the known one is ignored.
         revision: u64,
     },
-    /// A fact was learnt; facts on other moves are ignored.
+    /// A fact was received; facts that concern neither this move nor its new version are ignored.
     Fact(Fact),
-    /// The live instances of the service, and the regions that any member is seen in.
+    /// The membership view changed.
     Peers {
-        /// The instances.
+        /// Live instances of the move's service.
         live: Vec<Peer>,
-        /// The regions.
+        /// Regions in which a member of any service is live.
         regions: BTreeSet<Region>,
     },
-    /// The instances that the platform's table lists, in answer to [`Action::ReadRegistry`].
+    /// Instances registered in the platform's table, in reply to [`Action::ReadRegistry`].
     Registry(Vec<Peer>),
-    /// Evidence of a process, the own one included.
+    /// Evidence report of one process, which may be this node's own.
     Report(Box<Report>),
-    /// Time passes: the only input on which the evidence is judged.
+    /// Time has passed. Evidence is evaluated on this input only.
     Tick,
 }
 
-/// What the machine wants done.
+/// Side effect that [`MoveControl`](super::MoveControl) requests from its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Spread a fact, and treat it as learnt.
+    /// Distribute a fact to all nodes and store it on this one.
     Raise(Fact),
-    /// List the registered instances of the service.
+    /// Read the service's registered instances and pass them back as [`Input::Registry`].
     ReadRegistry,
-    /// Write the outcome by compare-and-set on `revision`; settle lost answers by reading back.
+    /// Write the outcome by compare-and-set. If the answer is lost, the row must be read back to
+    /// learn whether the write took effect.
     End {
-        /// The outcome.
+        /// Outcome of the move.
         outcome: Outcome,
-        /// The revision that it is based on.
+        /// Revision that the row must still have.
         revision: u64,
     },
 }
--- a/crates/sycamore-moves/src/control/merger.rs
+++ b/crates/sycamore-moves/src/control/merger.rs
@@ -1,4 +1,4 @@
-//! What a merging node holds: the merged evidence, the judge, and the holds of steps.
+//! Evidence merging on one node: merged reports, the tests on them, and when a step may be cleared.
 
 use crate::evidence::{Baselines, Ledger, Report, Source};
 use crate::plan::{MoveRow, Summary};
@@ -7,20 +7,20 @@
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// Bounds of a move's control.
+/// Limits and intervals of a move's state machine.
 #[derive(Debug, Clone)]
 pub struct ControlOptions {
-    /// Nodes that merge the evidence of a move.
+    /// Number of nodes that merge the evidence of a move.
     pub mergers: usize,
-    /// A report is fresh for this long.
+    /// Age up to which a report shows that its sender can be reached.
     pub report_max_age: Duration,
-    /// An instance that is gone this long counts out, if its region is seen.
+    /// Time after which an instance that left is no longer waited for, if its region is still seen.
     pub departure_grace: Duration,
-    /// Time between two tries to write the outcome.
+    /// Time between two attempts to write the outcome.
     pub retry_interval: Duration,
-    /// Facts on a move are kept this long after its deadline.
+    /// Time after a move's deadline for which its facts are kept.
     pub fact_retention: Duration,
-    /// The judge's bounds.
+    /// Thresholds of the verdict tests.
     pub verdict: VerdictOptions,
 }
 
@@ -37,127 +37,131 @@
     }
 }
 
-/// Reports of a process that are heard from its begin, though some were lost.
-const EARLY_REPORTS: u64 = 8;
+/// Highest sequence number of a first received report at which the process is still taken as
+/// observed from its start; a few reports may be lost.
+const MAX_FIRST_SEQ: u64 = 8;
 
-/// Longest time between two reports of a process that counts as one stretch.
-const MAX_GAP: Duration = Duration::from_secs(3);
+/// Time between two reports of a process above which the counts in between are excluded.
+const MAX_REPORT_GAP: Duration = Duration::from_secs(3);
 
-/// Why a step is not cleared yet, for the report.
+/// Condition that keeps a step from being cleared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum HoldReason {
-    /// The step has not been held long enough.
+    /// The step's minimum hold time has not passed.
     MinHoldTime,
-    /// Too few nodes report: this node may be cut off.
+    /// Too few nodes have reported recently, so this node may be partitioned off.
     TooFewReports,
-    /// The evidence does not suffice.
+    /// The evidence does not yet rule out the step's margin.
     Evidence,
 }
 
-/// The merging part of one node.
+/// Merged evidence of one move on one node, with the tests that run on it.
 #[derive(Debug, Clone)]
 pub struct Merger {
     ledger: Ledger,
-    /// A node that begins to merge in the middle of a move starts from the counters that it hears
-    /// first: what came before can no longer be told apart by time.
-    bases: Baselines,
-    heard: BTreeMap<InstanceId, (Time, UpstreamVersion)>,
-    judge: VerdictTests,
+    /// Counters that are subtracted from each process's report: what it counted before this node
+    /// first received a report of it, or during a gap in its reports. Such counts cannot be
+    /// assigned to a time any more.
+    baselines: Baselines,
+    /// Time at which the last new report of each instance was received, and its version.
+    last_reports: BTreeMap<InstanceId, (Time, UpstreamVersion)>,
+    tests: VerdictTests,
+    /// Index of the open step and when it was opened.
     step: Option<(usize, WallTime)>,
 }
 
 impl Merger {
-    /// A merger that starts at `now`.
+    /// Creates a merger without evidence whose first stratum starts at `now`.
     pub fn new(options: &ControlOptions, now: Time) -> Self {
         Self {
             ledger: Ledger::default(),
-            bases: Baselines::default(),
-            heard: BTreeMap::new(),
-            judge: VerdictTests::new(options.verdict.clone(), now),
+            baselines: Baselines::default(),
+            last_reports: BTreeMap::new(),
+            tests: VerdictTests::new(options.verdict.clone(), now),
             step: None,
         }
     }
 
-    /// Takes in a report.
-    pub fn take(&mut self, now: Time, report: Report) {
+    /// Merges a report.
+    pub fn add_report(&mut self, now: Time, report: Report) {
         let source = Source { instance: report.instance.clone(), incarnation: report.incarnation };
-        self.skip_gap(now, source, &report);
-        let heard = (report.instance.clone(), (now, report.version.clone()));
+        self.exclude_unobserved(now, source, &report);
+        let last_report = (report.instance.clone(), (now, report.version.clone()));
         if self.ledger.merge(report) {
-            self.heard.extend([heard]);
+            self.last_reports.extend([last_report]);
         }
     }
 
-    /// Leaves out what a process counted while this node did not hear of it.
-    fn skip_gap(&mut self, now: Time, source: Source, report: &Report) {
-        match (self.heard.get(&source.instance), self.ledger.report(&source)) {
-            (None, _) if report.seq > EARLY_REPORTS => {
-                self.bases.insert(source, report.totals.clone());
+    /// Excludes the calls that a process counted while this node received no reports from it.
+    fn exclude_unobserved(&mut self, now: Time, source: Source, report: &Report) {
+        match (self.last_reports.get(&source.instance), self.ledger.report(&source)) {
+            (None, _) if report.seq > MAX_FIRST_SEQ => {
+                self.baselines.insert(source, report.totals.clone());
             }
-            (Some((at, _)), Some(last)) if now.since(*at) > MAX_GAP => {
+            (Some((at, _)), Some(last)) if now.since(*at) > MAX_REPORT_GAP => {
                 let in_gap = report.totals.since(&last.totals);
-                self.bases.entry(source).or_default().add_all(&in_gap);
+                self.baselines.entry(source).or_default().add_all(&in_gap);
             }
             _ => {}
         }
     }
 
-    /// Judges what has been merged.
-    pub fn judge(&mut self, now: Time, row: &MoveRow) -> Option<Finding> {
-        let new = self.ledger.totals_since(&row.spec.to, &self.bases);
-        let old = self.ledger.totals_since(&row.spec.from, &self.bases);
-        self.judge.evaluate(now, new, old)
+    /// Tests the merged evidence; returns the first finding against the new version.
+    pub fn evaluate(&mut self, now: Time, row: &MoveRow) -> Option<Finding> {
+        let new = self.ledger.totals_since(&row.spec.to, &self.baselines);
+        let old = self.ledger.totals_since(&row.spec.from, &self.baselines);
+        self.tests.evaluate(now, new, old)
     }
 
-    /// Notes that `step` is open, since `opened`.
-    pub fn open(&mut self, now: Time, opened: WallTime, step: usize) {
+    /// Starts the evidence of `step`, which is open since `opened`, unless it is open already.
+    pub fn open_step(&mut self, now: Time, opened: WallTime, step: usize) {
         if self.step.is_none_or(|(open, _)| open != step) {
             self.step = Some((step, opened));
-            self.judge.open_step(now);
+            self.tests.open_step(now);
         }
     }
 
-    /// Whether the open step may be cleared, or what it waits for. More than half of `needed` must
-    /// have reported lately, and one process of the old version if `old_expected`: a node that is
-    /// cut off clears nothing.
+    /// Returns the index of the open step if it may be cleared. More than half of `required` must
+    /// have reported within `max_age`, and one process of the old version if `old_expected`, so
+    /// that a node that is partitioned off clears nothing.
     ///
     /// # Errors
-    /// The [`HoldReason`] that is in force.
-    pub fn clears(
+    /// The [`HoldReason`] that keeps the step open.
+    pub fn clearable_step(
         &self,
         (now, wall): (Time, WallTime),
         row: &MoveRow,
-        needed: &[Source],
+        required: &[Source],
         old_expected: bool,
-        fresh: Duration,
+        max_age: Duration,
     ) -> Result<usize, HoldReason> {
         let (step, opened) = self.step.ok_or(HoldReason::MinHoldTime)?;
-        let agreed = row.schedule.steps.get(step).ok_or(HoldReason::MinHoldTime)?;
+        let scheduled = row.schedule.steps.get(step).ok_or(HoldReason::MinHoldTime)?;
         if wall.since(opened) < row.schedule.hold(step, opened) {
             return Err(HoldReason::MinHoldTime);
         }
-        let is_fresh = |at: &Time| now.since(*at) <= fresh;
-        let heard_of = |source: &&Source| self.heard.get(&source.instance);
-        let heard = needed.iter().filter_map(|source| heard_of(&source));
-        let heard = heard.filter(|(at, _)| is_fresh(at)).count();
-        let mut fresh_ones = self.heard.values().filter(|(at, _)| is_fresh(at));
-        let old = fresh_ones.any(|(_, version)| *version == row.spec.from);
-        if heard * 2 <= needed.len() || (old_expected && !old) {
+        let is_recent = |at: &Time| now.since(*at) <= max_age;
+        let last_report_of = |source: &&Source| self.last_reports.get(&source.instance);
+        let reporting = required.iter().filter_map(|source| last_report_of(&source));
+        let reporting = reporting.filter(|(at, _)| is_recent(at)).count();
+        let mut recent = self.last_reports.values().filter(|(at, _)| is_recent(at));
+        let old = recent.any(|(_, version)| *version == row.spec.from);
+        if reporting * 2 <= required.len() || (old_expected && !old) {
             return Err(HoldReason::TooFewReports);
         }
-        if !self.judge.clears(agreed.margin) {
+        if !self.tests.clears(scheduled.margin) {
             return Err(HoldReason::Evidence);
         }
         Ok(step)
     }
 
-    /// Whether `source` has confirmed.
+    /// Returns whether `source` has confirmed the watch period.
     pub fn has_confirmed(&self, source: &Source) -> bool {
         self.ledger.report_of(source).is_some_and(|report| report.confirmed)
     }
 
-    /// The counts so far.
+    /// Returns the counts merged so far.
     pub fn summary(&self) -> Summary {
-        self.judge.summary()
+        self.tests.summary()
     }
 }
--- a/crates/sycamore-moves/src/control/mod.rs
+++ b/crates/sycamore-moves/src/control/mod.rs
@@ -1,9 +1,10 @@
-//! One move as one node runs it: the share it applies, and, at the nodes of the new version, the
-//! judgement.
+//! State machine of one move on one node: the traffic share in force and, on nodes whose upstream
+//! runs the new version, the evaluation of evidence.
 //!
-//! Only nodes beside the new version judge, and a node that has confirmed the watch period as clean
-//! judges no more. The move is done only when every live instance of the new version has confirmed, so
-//! no verdict can fall before or after that the outcome does not know of.
+//! Only nodes whose upstream runs the new version evaluate evidence, and a node stops doing so once
+//! it has confirmed that the watch period was clean. A move is done only when every live instance
+//! of the new version has confirmed, so no node can find the version bad, before or after, without
+//! the outcome taking that into account.
 
 mod io;
 mod machine;
--- a/crates/sycamore-moves/src/control/peers.rs
+++ b/crates/sycamore-moves/src/control/peers.rs
@@ -1,32 +1,33 @@
-//! What a node knows about the instances of a move's service.
+//! Membership view of a move's service on one node.
 
 use crate::evidence::Source;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// A live instance of the service.
+/// Instance of a move's service, as membership or the platform's table lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// The instance.
+    /// Instance name.
     pub instance: InstanceId,
-    /// Its generation.
+    /// Generation under which membership knows the process.
     pub incarnation: Incarnation,
-    /// The version of its upstream.
+    /// Version that its upstream announced.
     pub version: UpstreamVersion,
-    /// Its region.
+    /// Region that the instance runs in.
     pub region: Region,
 }
 
-/// An instance of the new version that was seen once.
+/// Instance of the new version that is live, was live or is registered.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Seen {
     incarnation: Incarnation,
     region: Region,
+    /// When the instance left the view; `None` while it is live.
     gone_since: Option<Time>,
 }
 
-/// The instances of one service: the live ones, and those of the new version that were live once.
+/// Instances of one service: all live ones, and every one of the new version seen so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Peers {
     live: BTreeMap<InstanceId, Peer>,
@@ -36,7 +37,7 @@
 }
 
 impl Peers {
-    /// Takes in the live instances of the service, and the regions in which any member is live.
+    /// Replaces the live instances of the service and the regions in which any member is live.
     pub fn update(
         &mut self,
         now: Time,
@@ -57,10 +58,10 @@
         }
     }
 
-    /// Takes in the instances that the platform's table lists. A row may be older than the version
-    /// that its upstream announced, so one that is not seen and not known to run `from` counts as
-    /// one of the new version.
-    pub fn register(&mut self, now: Time, registered: &[Peer], from: &UpstreamVersion) {
+    /// Adds the instances that are registered in the platform's table. A row may be older than the
+    /// upstream's announced version, so an instance that is not live and not listed with `from`
+    /// counts as one of the new version.
+    pub fn add_registered(&mut self, now: Time, registered: &[Peer], from: &UpstreamVersion) {
         let unseen = |peer: &&Peer| !self.live.contains_key(&peer.instance);
         let unseen: Vec<&Peer> =
             registered.iter().filter(|peer| peer.version != *from).filter(unseen).collect();
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Live instances of `version`.
+    /// Returns the live instances whose upstream runs `version`.
     pub fn of_version<'a>(
         &'a self,
         version: &'a UpstreamVersion,
@@ -81,25 +82,31 @@
         self.live.values().filter(move |peer| peer.version == *version)
     }
 
-    /// Whether an instance of another version than the new one was ever live.
+    /// Returns whether an instance of another version than the new one was ever live.
     pub fn old_seen(&self) -> bool {
         self.old_seen
     }
 
-    /// Live instances of the service.
+    /// Returns all live instances of the service.
     pub fn live(&self) -> impl Iterator<Item = &Peer> {
         self.live.values()
     }
 
-    /// Instances of the new version whose word is needed. One that is gone counts out only after
-    /// `retire`, and only while others of its region are seen: a region that is cut off keeps its
-    /// say.
-    pub fn needed(&self, now: Time, retire: Duration) -> impl Iterator<Item = Source> + '_ {
-        let is_needed = move |seen: &Seen| match seen.gone_since {
+    /// Returns the instances of the new version that must confirm the watch period. An instance
+    /// that left is dropped only after `departure_grace` and only while other members of its region
+    /// are live: if the whole region is gone, it may be partitioned off and still serve.
+    pub fn required(
+        &self,
+        now: Time,
+        departure_grace: Duration,
+    ) -> impl Iterator<Item = Source> + '_ {
+        let is_required = move |seen: &Seen| match seen.gone_since {
             None => true,
-            Some(since) => now.since(since) < retire || !self.regions.contains(&seen.region),
+            Some(since) => {
+                now.since(since) < departure_grace || !self.regions.contains(&seen.region)
+            }
         };
-        self.seen.iter().filter(move |(_, seen)| is_needed(seen)).map(|(instance, seen)| Source {
+        self.seen.iter().filter(move |(_, seen)| is_required(seen)).map(|(instance, seen)| Source {
             instance: instance.clone(),
             incarnation: seen.incarnation,
         })
--- a/crates/sycamore-moves/src/control/rendezvous.rs
+++ b/crates/sycamore-moves/src/control/rendezvous.rs
@@ -1,16 +1,16 @@
-//! Rendezvous hashing (Thaler and Ravishankar, 1998): every node picks the same few instances
-//! without asking, and the loss of one moves only its own part.
+//! Rendezvous hashing (Thaler and Ravishankar, 1998): all nodes select the same instances without
+//! coordination, and the loss of an instance changes only the selections that contained it.
 
 use sycamore_types::hash::ContentHash;
 use sycamore_types::prelude::*;
 
-/// The weight of `instance` for `mv`.
+/// Computes the rendezvous weight of `instance` for the move `mv`.
 pub fn score(mv: &MoveId, instance: &InstanceId) -> u64 {
     let hash = ContentHash::of(format!("{mv}\n{instance}").as_bytes());
     hash.0.iter().take(8).fold(0, |score, byte| (score << 8) | u64::from(*byte))
 }
 
-/// The `count` instances with the highest weights for `mv`.
+/// Returns the `count` instances with the highest weights for the move `mv`, highest first.
 pub fn choose<'a>(
     mv: &MoveId,
     instances: impl IntoIterator<Item = &'a InstanceId>,
