--- a/crates/sycamore-moves/src/verdict/finding.rs
+++ b/crates/sycamore-moves/src/verdict/finding.rs
@@ -1,49 +1,50 @@
-//! What a verdict says.
+//! Findings of the verdict tests, and their texts.
 
 use super::Pair;
 use std::fmt;
 use sycamore_types::prelude::*;
 
-/// A sign of badness.
+/// Kind of misbehaviour that a test looks for; a call that shows it is a hit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Signal {
-    /// Calls fail, break or time out.
+    /// Calls that fail, break off or time out.
     Failed,
-    /// Calls are answered with a status of 400 to 499.
+    /// Calls answered with a status of 400 to 499.
     Rejected,
-    /// The upstream refuses calls for load.
+    /// Calls that the upstream refuses because of load.
     Shed,
-    /// More calls are slow than beyond the old version's 90th percentile.
+    /// Calls slower than the old version's 90th latency percentile.
     Slow90,
-    /// More calls are slow than beyond the old version's 99th percentile.
+    /// Calls slower than the old version's 99th latency percentile.
     Slow99,
-    /// Upstreams crash.
+    /// Crashes of upstreams, counted against calls.
     Crash,
 }
 
-/// Which calls a test looks at.
+/// Set of calls that a test counts.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Scope {
-    /// All calls.
+    /// Calls of all routes and callers.
     All,
-    /// Those of one route.
+    /// Calls of one route.
     Route(RouteName),
-    /// Those of one bucket of callers.
+    /// Calls of one bucket of callers, by its index.
     Callers(u8),
 }
 
-/// A version was found bad.
+/// Evidence on which a new version was found bad.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
-    /// The sign.
+    /// Misbehaviour that was found.
     pub signal: Signal,
-    /// Where it showed.
+    /// Calls in which it was found.
     pub scope: Scope,
-    /// Counts over the whole move.
+    /// Counts of both versions over the whole move.
     pub counts: Pair,
-    /// Natural logarithm of the evidence against "as good at the same time".
+    /// Natural logarithm of the pair test's evidence that the new version is worse at the same
+    /// time.
     pub pair_evidence: f64,
-    /// Natural logarithm of the evidence against "as good at the same load".
+    /// Natural logarithm of the reference test's evidence that it is worse at the same load.
     pub reference_evidence: f64,
 }
 
--- a/crates/sycamore-moves/src/verdict/proof.rs
+++ b/crates/sycamore-moves/src/verdict/proof.rs
@@ -1,24 +1,24 @@
-//! The proof that a step of the schedule asks for: failures of the new version lie at most a margin
-//! above the old one's.
+//! Non-inferiority test that clears a step: the new version's failure rate exceeds the old
+//! version's by less than a margin.
 
-use super::sequential::proof_ratio;
+use super::sequential::non_inferiority_ratio;
 use super::{Pair, Sample};
 
-/// Strata kept of one step; the last two are joined where there are more.
+/// Number of strata kept per step; further ones are added to the last.
 const MAX_STRATA: usize = 64;
-/// Standard errors by which a stratum's rate may differ from the step's before it counts as an
-/// incident of the whole service.
+/// Number of standard errors by which the old version's failure rate in a stratum may differ from
+/// its usual one before the stratum counts as an incident of the whole service.
 const INCIDENT_ERRORS: f64 = 2.5;
 
-/// Failures of both versions since a step began, stratum by stratum.
+/// Failures of both versions since a step was opened, by stratum of time.
 #[derive(Debug, Clone, Default)]
-pub struct Proof {
+pub struct NonInferiorityTest {
     strata: Vec<Pair>,
 }
 
-impl Proof {
+impl NonInferiorityTest {
     /// Adds a closed stratum.
-    pub fn close(&mut self, stratum: Pair) {
+    pub fn close_stratum(&mut self, stratum: Pair) {
         if self.strata.len() >= MAX_STRATA {
             if let Some(last) = self.strata.last_mut() {
                 *last = last.plus(stratum);
@@ -28,31 +28,33 @@
         self.strata.push(stratum);
     }
 
-    /// Whether the strata, with the `open` one, rule out at error rate `beta` that the new version
-    /// fails `margin` more often than the old one at the same time. Where the old version fails
-    /// often itself, the margin is at least `ratio` times its rate. `old` holds the old version's
-    /// failures over the whole move: they tell its rate more exactly than a step in which it has
-    /// little traffic, unless something has changed since.
+    /// Returns whether the closed strata and the `open` one rule out, at error rate `beta`, that
+    /// the new version's failure rate is `margin` above the old version's at the same time. Where
+    /// the old version fails often itself, the margin is at least `ratio` times its rate. `old`
+    /// holds the old version's failures over the whole move: its rate over the move is more precise
+    /// than over one step, in which it may get little traffic, and is used unless the step's own
+    /// rate differs from it significantly.
     pub fn rules_out(&self, open: Pair, old: &Sample, margin: f64, ratio: f64, beta: f64) -> bool {
         let strata = || self.strata.iter().copied().chain([open]);
         let all = strata().fold(Pair::default(), Pair::plus);
-        let whole = rate(old);
-        let usual = if is_usual(&all.old, whole) { whole } else { rate(&all.old) };
+        let over_move = rate(old);
+        let usual = if is_usual(&all.old, over_move) { over_move } else { rate(&all.old) };
         let evidence: f64 = strata()
             .map(|pair| {
                 let base = if is_usual(&pair.old, usual) { usual } else { rate(&pair.old) };
-                proof_ratio(&pair.new, base, margin.max(base * ratio))
+                non_inferiority_ratio(&pair.new, base, margin.max(base * ratio))
             })
             .sum();
         all.new.calls > 0 && evidence <= beta.ln()
     }
 }
 
+/// Estimates the failure rate of `sample`; above 0 even without hits.
 fn rate(sample: &Sample) -> f64 {
     (sample.hits as f64 + 0.1) / (sample.calls as f64 + 1.0)
 }
 
-/// Whether a stratum's rate of failures is what chance makes of the `usual` one.
+/// Returns whether the failures in `sample` are consistent with the `usual` rate.
 fn is_usual(sample: &Sample, usual: f64) -> bool {
     let calls = sample.calls as f64;
     let deviation = (sample.hits as f64 - calls * usual).abs();
--- a/crates/sycamore-moves/src/verdict/sample.rs
+++ b/crates/sycamore-moves/src/verdict/sample.rs
@@ -1,25 +1,25 @@
-//! Counts that the tests look at, taken from the counters of both versions.
+//! Samples for the verdict tests, computed from the counters of both versions.
 
 use super::{Scope, Signal};
 use crate::evidence::{Cell, Counts, Totals};
 use std::collections::BTreeMap;
 use sycamore_types::prelude::*;
 
-/// Hits among calls.
+/// Number of hits among a number of calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Sample {
-    /// Calls.
+    /// Calls in the sample.
     pub calls: u64,
-    /// Those with the sign looked for.
+    /// Calls among them that show the tested [`Signal`].
     pub hits: u64,
 }
 
-/// Samples of both versions.
+/// Samples of both versions over the same time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Pair {
-    /// The new version.
+    /// Sample of the new version.
     pub new: Sample,
-    /// The old version.
+    /// Sample of the old version.
     pub old: Sample,
 }
 
@@ -42,53 +42,54 @@
     }
 }
 
-/// For each route, the histogram buckets beyond which a call of the old version is slow: at its
-/// 90th and its 99th percentile.
-pub(super) type SlowCuts = BTreeMap<RouteName, [usize; 2]>;
+/// Latency buckets above which a call is slow, by route: the old version's 90th and 99th
+/// percentile.
+pub(super) type SlowThresholds = BTreeMap<RouteName, [usize; 2]>;
 
-/// Buckets that the new version may be slower by: a factor of 1.4.
-const SLOW_SHIFT: usize = 2;
-/// Calls of the old version that a percentile needs.
-const MIN_CALLS_FOR_CUT: u64 = 20;
+/// Number of latency buckets by which the new version may be slower: a factor of 1.4.
+const SLOW_TOLERANCE_BUCKETS: usize = 2;
+/// Number of the old version's calls on a route from which its percentiles are used.
+const MIN_CALLS_FOR_THRESHOLD: u64 = 20;
 
-/// The cuts from everything that the old version did so far.
-pub(super) fn slow_cuts(old: &Totals) -> SlowCuts {
+/// Computes the thresholds of slow calls from all calls of the old version.
+pub(super) fn slow_thresholds(old: &Totals) -> SlowThresholds {
     let mut routes: BTreeMap<RouteName, Counts> = BTreeMap::new();
     for (cell, counts) in &old.cells {
         routes.entry(cell.route.clone()).or_default().add_all(counts);
     }
-    let cut = |(route, counts): (RouteName, Counts)| {
+    let thresholds = |(route, counts): (RouteName, Counts)| {
         let latency = counts.latency;
-        let cuts = [latency.quantile(0.9)?, latency.quantile(0.99)?];
-        (latency.total() >= MIN_CALLS_FOR_CUT).then_some((route, cuts))
+        let percentiles = [latency.quantile(0.9)?, latency.quantile(0.99)?];
+        (latency.total() >= MIN_CALLS_FOR_THRESHOLD).then_some((route, percentiles))
     };
-    routes.into_iter().filter_map(cut).collect()
+    routes.into_iter().filter_map(thresholds).collect()
 }
 
-/// Which version a sample is taken of; the new one may be a little slower.
+/// Version that a sample is taken of; the new one is allowed to be slightly slower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Side {
     New,
     Old,
 }
 
-/// Samples of every test, each by band of offered load.
-pub(super) type Tabulated = BTreeMap<(Signal, Scope), BTreeMap<u8, Sample>>;
+/// Samples of each test, by band of offered load.
+pub(super) type SampleTable = BTreeMap<(Signal, Scope), BTreeMap<u8, Sample>>;
 
-/// The samples of every test that the counters of one version allow.
-pub(super) fn tabulate(totals: &Totals, side: Side, cuts: &SlowCuts) -> Tabulated {
-    let mut table = Tabulated::new();
+/// Computes the samples of all tests from the counters of one version.
+pub(super) fn tabulate(totals: &Totals, side: Side, thresholds: &SlowThresholds) -> SampleTable {
+    let mut table = SampleTable::new();
     for (cell, counts) in &totals.cells {
         let route = Scope::Route(cell.route.clone());
-        for (signal, sample) in of_counts(counts) {
+        for (signal, sample) in samples_of(counts) {
             add(&mut table, (signal, Scope::All), cell, sample);
             add(&mut table, (signal, route.clone()), cell, sample);
         }
-        if let Some(cuts) = cuts.get(&cell.route) {
+        if let Some(thresholds) = thresholds.get(&cell.route) {
             let calls = counts.latency.total();
-            for (signal, cut) in [Signal::Slow90, Signal::Slow99].into_iter().zip(cuts) {
-                let shift = if side == Side::New { SLOW_SHIFT } else { 0 };
-                let hits = counts.latency.above(cut + shift);
+            for (signal, threshold) in [Signal::Slow90, Signal::Slow99].into_iter().zip(thresholds)
+            {
+                let tolerance = if side == Side::New { SLOW_TOLERANCE_BUCKETS } else { 0 };
+                let hits = counts.latency.above(threshold + tolerance);
                 add(&mut table, (signal, route.clone()), cell, Sample { calls, hits });
             }
         }
@@ -96,7 +97,7 @@
     let groups = totals.callers.iter().enumerate().filter(|(_, counts)| counts.calls > 0);
     for (group, counts) in groups {
         let sample = Sample { calls: counts.calls, hits: counts.bad };
-        // A group's number is below the number of groups, which fits.
+        // Bucket indexes are below CALLER_BUCKETS and fit.
         table.insert((Signal::Failed, Scope::Callers(group as u8)), BTreeMap::from([(0, sample)]));
     }
     let calls = totals.answered() + totals.crashes;
@@ -105,7 +106,7 @@
     table
 }
 
-fn of_counts(counts: &Counts) -> [(Signal, Sample); 3] {
+fn samples_of(counts: &Counts) -> [(Signal, Sample); 3] {
     let calls = counts.answered();
     [
         (Signal::Failed, Sample { calls, hits: counts.failed }),
@@ -114,12 +115,12 @@
     ]
 }
 
-fn add(table: &mut Tabulated, key: (Signal, Scope), cell: &Cell, sample: Sample) {
+fn add(table: &mut SampleTable, key: (Signal, Scope), cell: &Cell, sample: Sample) {
     let sum = table.entry(key).or_default().entry(cell.band).or_default();
     *sum = sum.plus(sample);
 }
 
-/// Sum over all bands.
+/// Sums the samples of all bands.
 pub(super) fn sum(bands: &BTreeMap<u8, Sample>) -> Sample {
     bands.values().fold(Sample::default(), |sum, sample| sum.plus(*sample))
 }
--- a/crates/sycamore-moves/src/verdict/sequential.rs
+++ b/crates/sycamore-moves/src/verdict/sequential.rs
@@ -1,8 +1,8 @@
-//! Sequential tests on counts.
+//! Sequential likelihood-ratio tests on counts of hits and calls.
 
 use super::{Pair, Sample};
 
-/// Rates of the old and the new version that the pair test holds for possible.
+/// Alternative hypotheses of the pair test: hit rates of the old and the new version.
 const PAIR_RATES: [(f64, f64); 16] = [
     (0.002, 0.02),
     (0.002, 0.06),
@@ -22,20 +22,22 @@
     (0.000_01, 0.01),
 ];
 
-/// Rates of the new version that the reference test holds for possible.
+/// Alternative hypotheses of the reference test: hit rates of the new version.
 const REFERENCE_RATES: [f64; 8] = [0.001, 0.01, 0.03, 0.08, 0.2, 0.4, 0.7, 0.95];
 
-/// Smallest ratio of a possible rate to the rate that the reference allows.
+/// Ratio to the allowed rate that a hypothesis's rate must exceed to be tested on a sample.
 const MIN_RATIO: f64 = 1.25;
 
-/// Tests whether the new version has a higher rate of hits than the old one at the same time.
+/// Sequential test of whether the new version has a higher hit rate than the old one at the same
+/// time.
 #[derive(Debug, Clone, Default)]
 pub struct PairTest {
+    /// Logarithm of the evidence for each hypothesis from the closed strata.
     closed: [f64; PAIR_RATES.len()],
 }
 
 impl PairTest {
-    /// Natural logarithm of the evidence, with the counts of the open stratum.
+    /// Returns the natural logarithm of the evidence, including the `open` stratum.
     pub fn evidence(&self, open: &Pair) -> f64 {
         if open.new.hits == 0 && self.closed.iter().all(|closed| *closed <= 0.0) {
             return 0.0;
@@ -44,35 +46,38 @@
         log_mean_exp(sums.map(|(closed, rates)| closed + pair_ratio(open, *rates)))
     }
 
-    /// Closes the stratum. A hypothesis that has lost all evidence starts again.
-    pub fn close(&mut self, stratum: &Pair) {
+    /// Adds a closed stratum. A hypothesis whose evidence falls below 1 restarts at 1.
+    pub fn close_stratum(&mut self, stratum: &Pair) {
         for (closed, rates) in self.closed.iter_mut().zip(&PAIR_RATES) {
             *closed = (*closed + pair_ratio(stratum, *rates)).max(0.0);
         }
     }
 }
 
-/// Logarithm of the likelihood ratio of "old at `rates.0`, new at `rates.1`" to "both at the rate
-/// that this mixes to", which is an e-value for any common rate.
+/// Computes the log likelihood ratio of the hypothesis "old version at rate `old`, new version at
+/// rate `new`" to "both at the weighted mean of these rates"; it is an e-value whatever the common
+/// rate.
 fn pair_ratio(pair: &Pair, (old, new): (f64, f64)) -> f64 {
     let Pair { new: of_new, old: of_old } = pair;
     let calls = of_new.calls + of_old.calls;
     if calls == 0 {
         return 0.0;
     }
-    let part = of_new.calls as f64 / calls as f64;
-    let common = part * new + (1.0 - part) * old;
+    let new_part = of_new.calls as f64 / calls as f64;
+    let common = new_part * new + (1.0 - new_part) * old;
     ratio(of_new, new, common) + ratio(of_old, old, common)
 }
 
-/// Tests whether the new version has a higher rate of hits than a reference allows.
+/// Sequential test of whether the new version has a higher hit rate than the old version's allows.
 #[derive(Debug, Clone, Default)]
 pub struct ReferenceTest {
+    /// Logarithm of the evidence for each hypothesis from the closed strata.
     closed: [f64; REFERENCE_RATES.len()],
 }
 
 impl ReferenceTest {
-    /// Natural logarithm of the evidence, with the open stratum: samples and the rate allowed to each.
+    /// Returns the natural logarithm of the evidence, including the `open` stratum, whose samples
+    /// come with the rate allowed to each.
     pub fn evidence(&self, open: &[(Sample, f64)]) -> f64 {
         let hits: u64 = open.iter().map(|(sample, _)| sample.hits).sum();
         if hits == 0 && self.closed.iter().all(|closed| *closed <= 0.0) {
@@ -82,35 +87,40 @@
         log_mean_exp(sums.map(|(closed, rate)| closed + reference_ratio(open, *rate)))
     }
 
-    /// Closes the stratum. A hypothesis that has lost all evidence starts again.
-    pub fn close(&mut self, stratum: &[(Sample, f64)]) {
+    /// Adds a closed stratum. A hypothesis whose evidence falls below 1 restarts at 1.
+    pub fn close_stratum(&mut self, stratum: &[(Sample, f64)]) {
         for (closed, rate) in self.closed.iter_mut().zip(&REFERENCE_RATES) {
             *closed = (*closed + reference_ratio(stratum, *rate)).max(0.0);
         }
     }
 }
 
+/// Computes the log likelihood ratio of `rate` to the rate allowed to each sample. Samples whose
+/// allowed rate is too close to `rate` are left out.
 fn reference_ratio(samples: &[(Sample, f64)], rate: f64) -> f64 {
-    let tellable = samples.iter().filter(|(_, allowed)| rate > allowed * MIN_RATIO);
-    tellable.map(|(sample, allowed)| ratio(sample, rate, *allowed)).sum()
+    let distinguishable = samples.iter().filter(|(_, allowed)| rate > allowed * MIN_RATIO);
+    distinguishable.map(|(sample, allowed)| ratio(sample, rate, *allowed)).sum()
 }
 
-/// Logarithm of the likelihood ratio of "a rate `margin` above `base`" to "`base` plus a fiftieth of
-/// the margin".
-pub(super) fn proof_ratio(new: &Sample, base: f64, margin: f64) -> f64 {
+/// Computes the log likelihood ratio of a failure rate `margin` above `base` to one that is a
+/// fiftieth of the margin above it.
+pub(super) fn non_inferiority_ratio(new: &Sample, base: f64, margin: f64) -> f64 {
     ratio(new, base + margin, base + margin / 50.0)
 }
 
+/// Lowest rate of a hypothesis; a rate of 0 would have no logarithm.
 const MIN_RATE: f64 = 1e-6;
+/// Highest rate of a hypothesis; a rate of 1 would leave no logarithm for calls without a hit.
 const MAX_RATE: f64 = 0.999;
 
-/// Logarithm of the likelihood ratio of rate `a` to rate `b`.
+/// Computes the log likelihood ratio of the hit rate `a` to the hit rate `b`.
 fn ratio(sample: &Sample, a: f64, b: f64) -> f64 {
     let (a, b) = (a.clamp(MIN_RATE, MAX_RATE), b.clamp(MIN_RATE, MAX_RATE));
     let misses = sample.calls.saturating_sub(sample.hits);
     sample.hits as f64 * (a / b).ln() + misses as f64 * ((1.0 - a) / (1.0 - b)).ln()
 }
 
+/// Computes the logarithm of the mean of the exponentials without overflow.
 fn log_mean_exp(logs: impl Iterator<Item = f64> + Clone) -> f64 {
     let highest = logs.clone().fold(f64::NEG_INFINITY, f64::max);
     let (sum, count) =
