--- a/crates/sycamore-moves/src/evidence/codec.rs
+++ b/crates/sycamore-moves/src/evidence/codec.rs
@@ -1,4 +1,4 @@
-//! Compact encoding of reports: protocol buffers with sparse histograms.
+//! Encoding of reports as protocol buffers with sparse histograms.
 
 use super::{CallerCounts, Cell, Counts, Report, Totals, CALLER_BUCKETS, MAX_CELLS};
 use prost::Message;
@@ -6,7 +6,7 @@
 use sycamore_types::id::IdError;
 use sycamore_types::prelude::*;
 
-/// Longest encoded report, in bytes.
+/// Maximum size of an encoded report, in bytes.
 pub const MAX_REPORT_BYTES: usize = 32 << 10;
 
 #[derive(Clone, PartialEq, Message)]
@@ -27,7 +27,7 @@
     cold: u64,
     #[prost(uint64, tag = "8")]
     crashes: u64,
-    /// Calls, then bad ones, for each bucket of callers.
+    /// For each bucket of callers, the number of calls and the number of bad ones.
     #[prost(uint64, repeated, tag = "9")]
     callers: Vec<u64>,
     #[prost(message, repeated, tag = "10")]
@@ -50,31 +50,38 @@
     rejected: u64,
     #[prost(uint64, tag = "6")]
     shed: u64,
-    /// Bucket and count of each bucket that holds calls.
+    /// For each bucket that is not empty, its index and its count.
     #[prost(uint32, repeated, tag = "7")]
     latency: Vec<u32>,
 }
 
-/// Why bytes are no report.
+/// Error in decoding a report.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CodecError {
-    /// The message is longer than [`MAX_REPORT_BYTES`].
+    /// The message is longer than [`MAX_REPORT_BYTES`]; holds its length in bytes.
     TooLarge(usize),
-    /// The bytes are no message of this shape.
+    /// The bytes are not a protocol buffer of the report's type.
     Malformed(prost::DecodeError),
-    /// A field holds no identifier.
+    /// A field is not a valid identifier.
     BadId(IdError),
-    /// A list is longer or shorter than the shape allows.
+    /// A list has a wrong length, or a load band is out of range.
     BadShape,
 }
 
 impl fmt::Display for CodecError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CodecError::TooLarge(bytes) => write!(f, "report of {bytes} bytes is too large"),
-            CodecError::Malformed(error) => write!(f, "malformed report: {error}"),
-            CodecError::BadId(error) => write!(f, "report with a bad identifier: {error}"),
-            CodecError::BadShape => write!(f, "report with a list of wrong length"),
+            CodecError::TooLarge(bytes) => write!(
+                f,
+                "evidence report of {bytes} bytes exceeds the limit of {MAX_REPORT_BYTES} bytes"
+            ),
+            CodecError::Malformed(error) => write!(f, "malformed evidence report: {error}"),
+            CodecError::BadId(error) => {
+                write!(f, "evidence report with an invalid identifier: {error}")
+            }
+            CodecError::BadShape => {
+                write!(f, "evidence report with a list or load band out of range")
+            }
         }
     }
 }
@@ -87,7 +94,7 @@
     }
 }
 
-/// Encodes a report.
+/// Encodes a report for [`decode`].
 pub fn encode(report: &Report) -> Vec<u8> {
     let wire = WireReport {
         mv: report.mv.to_string(),
@@ -106,8 +113,8 @@
 }
 
 fn encode_cell(cell: &Cell, counts: &Counts) -> WireCell {
-    // A bucket's index is far below the range of its field.
-    let latency = counts.latency.filled().flat_map(|(bucket, count)| [bucket as u32, count]);
+    // Bucket indexes are below BUCKETS and fit.
+    let latency = counts.latency.non_empty().flat_map(|(bucket, count)| [bucket as u32, count]);
     WireCell {
         route: cell.route.to_string(),
         band: u32::from(cell.band),
@@ -119,10 +126,10 @@
     }
 }
 
-/// Decodes a report.
+/// Decodes a report of [`encode`].
 ///
 /// # Errors
-/// [`CodecError`] where the bytes are too many, malformed or break a bound.
+/// [`CodecError`] if the bytes are too many, are malformed or hold a value out of range.
 pub fn decode(bytes: &[u8]) -> Result<Report, CodecError> {
     if bytes.len() > MAX_REPORT_BYTES {
         return Err(CodecError::TooLarge(bytes.len()));
--- a/crates/sycamore-moves/src/evidence/collector.rs
+++ b/crates/sycamore-moves/src/evidence/collector.rs
@@ -1,20 +1,21 @@
-//! Gathers the outcomes beside one upstream into a report.
+//! Counting of the call outcomes of one upstream into a report.
 
 use super::{Cell, Report, Totals, CALLER_BUCKETS, MAX_CELLS};
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// Offered load of band 0 ends here, in calls a second and slot; each band doubles it.
+/// Upper bound of load band 0, in calls per second and slot; each further band doubles it.
 const BAND_BASE: f64 = 0.125;
-/// Highest band.
+/// Highest load band.
 const MAX_BAND: u8 = 15;
 
-/// How a collector works.
+/// Limits of a [`Collector`].
 #[derive(Debug, Clone)]
 pub struct CollectorOptions {
-    /// The offered load is measured over periods of this length.
+    /// Length of the periods over which the offered load is measured.
     pub period: Duration,
-    /// Outcomes held until their period ends; further ones are counted at the last known load.
+    /// Maximum number of outcomes held until their period ends; further ones are counted at the
+    /// last known load.
     pub max_pending: usize,
 }
 
@@ -24,7 +25,7 @@
     }
 }
 
-/// Counters of one process for one move.
+/// Counts call outcomes of one process for one move, and builds its reports.
 #[derive(Debug, Clone)]
 pub struct Collector {
     report: Report,
@@ -33,36 +34,40 @@
     period_start: Time,
     period_calls: u32,
     band: u8,
+    /// Outcomes of the current period, whose load band is not known yet.
     pending: Vec<CallOutcome>,
-    broken: BrokenRun,
+    broken: BrokenCalls,
+    /// Whether anything changed since the last report.
     changed: bool,
 }
 
-/// A crash breaks every call in flight at once. One such burst says no more than one failure, so
-/// only the first broken call of a period counts, until breaks go on for several periods.
+/// Decides which broken calls count as failures. A crash breaks all calls in flight at once, and
+/// such a burst is evidence of one failure only. So only the first broken call of a period counts,
+/// until calls have been breaking for several periods in a row.
 #[derive(Debug, Clone, Default)]
-struct BrokenRun {
+struct BrokenCalls {
     in_period: bool,
     periods: u8,
 }
 
-/// Periods in a row with broken calls after which each broken call counts.
+/// Number of consecutive periods with broken calls after which every broken call counts.
 const BROKEN_PERIODS: u8 = 2;
 
-impl BrokenRun {
-    fn counts(&mut self) -> bool {
+impl BrokenCalls {
+    /// Notes a broken call; returns whether it counts as a failure.
+    fn record(&mut self) -> bool {
         let first = !std::mem::replace(&mut self.in_period, true);
         first || self.periods >= BROKEN_PERIODS
     }
 
-    fn roll(&mut self) {
+    fn end_period(&mut self) {
         let broken = std::mem::take(&mut self.in_period);
         self.periods = if broken { self.periods.saturating_add(1) } else { 0 };
     }
 }
 
 impl Collector {
-    /// A collector for the upstream beside node `instance` with `slots` slots.
+    /// Creates a collector for the upstream of `member` in the move `mv`.
     pub fn new(mv: MoveId, member: &Member, options: CollectorOptions, now: Time) -> Self {
         let report = Report {
             mv,
@@ -82,18 +87,18 @@
             period_calls: 0,
             band: 0,
             pending: Vec::new(),
-            broken: BrokenRun::default(),
+            broken: BrokenCalls::default(),
             changed: true,
         }
     }
 
-    /// Counts an outcome of a call that ran beside this node.
+    /// Counts the outcome of a call to this node's upstream.
     pub fn record(&mut self, now: Time, outcome: &CallOutcome) {
-        self.roll(now);
+        self.end_period_if_due(now);
         self.period_calls = self.period_calls.saturating_add(1);
         let counts = match outcome.kind {
             OutcomeKind::Cancelled => false,
-            OutcomeKind::Broken => self.broken.counts(),
+            OutcomeKind::Broken => self.broken.record(),
             _ => true,
         };
         if !counts {
@@ -104,13 +109,13 @@
             self.report.totals.cold += 1;
             return;
         }
-        // The conversion only picks a bucket; the remainder fits.
+        // The remainder is below CALLER_BUCKETS, so the conversion is exact.
         let bucket = (outcome.caller % CALLER_BUCKETS as u64) as usize;
         self.report.totals.callers[bucket].record(outcome.kind);
         if self.pending.len() < self.options.max_pending {
             self.pending.push(outcome.clone());
         } else {
-            self.count(outcome);
+            self.count_in_cell(outcome);
         }
     }
 
@@ -120,7 +125,7 @@
         self.changed = true;
     }
 
-    /// Takes note that membership knows the process by `generation` now.
+    /// Sets the generation under which membership knows the process; a lower one is ignored.
     pub fn update_generation(&mut self, generation: Incarnation) {
         if generation > self.report.generation {
             self.report.generation = generation;
@@ -128,9 +133,10 @@
         }
     }
 
-    /// The report to send at `now`; `None` where nothing changed since the last one.
+    /// Returns the report to send at `now`; `None` if nothing changed since the last one.
+    /// `confirmed` says whether the node has confirmed the watch period.
     pub fn report(&mut self, now: Time, confirmed: bool) -> Option<Report> {
-        self.roll(now);
+        self.end_period_if_due(now);
         self.flush();
         if self.report.confirmed != confirmed {
             self.report.confirmed = confirmed;
@@ -143,13 +149,14 @@
         Some(self.report.clone())
     }
 
-    /// The last report again, with a new sequence number, as a sign of life.
+    /// Returns the last report with a new sequence number, to show that the process is alive.
     pub fn repeat(&mut self) -> Report {
         self.report.seq += 1;
         self.report.clone()
     }
 
-    fn roll(&mut self, now: Time) {
+    /// Ends the current period if its time has passed: its calls are counted at its load.
+    fn end_period_if_due(&mut self, now: Time) {
         let passed = now.since(self.period_start);
         if passed < self.options.period {
             return;
@@ -157,18 +164,19 @@
         self.band =
             band(f64::from(self.period_calls) / passed.as_secs_f64() / f64::from(self.slots));
         self.flush();
-        self.broken.roll();
+        self.broken.end_period();
         self.period_start = now;
         self.period_calls = 0;
     }
 
+    /// Counts the pending outcomes in the cells of the last measured load band.
     fn flush(&mut self) {
         for outcome in std::mem::take(&mut self.pending) {
-            self.count(&outcome);
+            self.count_in_cell(&outcome);
         }
     }
 
-    fn count(&mut self, outcome: &CallOutcome) {
+    fn count_in_cell(&mut self, outcome: &CallOutcome) {
         let cell = Cell { route: outcome.route.clone(), band: self.band };
         let cells = &mut self.report.totals.cells;
         if cells.len() < MAX_CELLS || cells.contains_key(&cell) {
@@ -177,10 +185,11 @@
     }
 }
 
+/// Returns the load band of an offered load in calls per second and slot.
 fn band(calls_per_slot: f64) -> u8 {
     if calls_per_slot <= BAND_BASE {
         return 0;
     }
-    // Clamped to the bands that exist, so the conversion is exact.
+    // The value is an integer of at most MAX_BAND, so the conversion is exact.
     (calls_per_slot / BAND_BASE).log2().ceil().min(f64::from(MAX_BAND)) as u8
 }
--- a/crates/sycamore-moves/src/evidence/counts.rs
+++ b/crates/sycamore-moves/src/evidence/counts.rs
@@ -1,62 +1,63 @@
-//! Counters of one version, by route and by offered load.
+//! Call counters of one version, by route and offered load and by caller.
 
 use super::Histogram;
 use std::collections::BTreeMap;
 use sycamore_types::prelude::*;
 
-/// Callers are told apart by this many buckets of their hash.
+/// Number of buckets into which callers are divided by their hash.
 pub const CALLER_BUCKETS: usize = 16;
-/// Most cells that one process keeps; calls of further routes are counted in no cell, but over all.
+/// Maximum number of cells of one process; calls that would need a further cell are counted by
+/// caller only.
 pub const MAX_CELLS: usize = 96;
 
-/// Calls of one route at one band of offered load.
+/// Key of the counters of one route at one band of offered load.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Cell {
-    /// The route.
+    /// Route of the calls.
     pub route: RouteName,
-    /// Offered load: base-2 logarithm of calls a second and slot, shifted to start at 0.
+    /// Band of offered load: base-2 logarithm of calls per second and slot, shifted to start at 0.
     pub band: u8,
 }
 
-/// Counters of calls that ended.
+/// Counters of completed calls.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Counts {
-    /// Answered with a status below 400.
+    /// Calls answered with a status below 400.
     pub ok: u64,
-    /// Failed, broken or timed out.
+    /// Calls that failed, broke off or timed out.
     pub failed: u64,
-    /// Answered with a status of 400 to 499.
+    /// Calls answered with a status of 400 to 499.
     pub rejected: u64,
-    /// Refused by the upstream for load.
+    /// Calls that the upstream refused because of load.
     pub shed: u64,
-    /// Latency of those that were answered.
+    /// Latency of the `ok` calls and of those that timed out.
     pub latency: Histogram,
 }
 
 /// Counters of one bucket of callers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct CallerCounts {
-    /// Calls that ended, shed ones left out.
+    /// Completed calls, without shed ones.
     pub calls: u64,
-    /// Of these, failed or rejected ones.
+    /// Failed or rejected calls among `calls`.
     pub bad: u64,
 }
 
-/// Everything that is counted of one version.
+/// All counters of one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Totals {
-    /// Counters by route and load. Cold calls are left out.
+    /// Counters by route and offered load, without calls to a cold upstream.
     pub cells: BTreeMap<Cell, Counts>,
-    /// Counters by bucket of callers. Cold calls are left out.
+    /// Counters by bucket of callers, without calls to a cold upstream.
     pub callers: [CallerCounts; CALLER_BUCKETS],
-    /// Calls that were answered while the upstream was cold.
+    /// Calls that completed while the upstream was cold.
     pub cold: u64,
-    /// Crashes of upstreams.
+    /// Number of upstream crashes.
     pub crashes: u64,
 }
 
 impl Counts {
-    /// Counts one outcome. A cancelled call says nothing and is not counted.
+    /// Counts one call outcome. A cancelled call says nothing about the version and is not counted.
     pub fn record(&mut self, outcome: &CallOutcome) {
         match outcome.kind {
             OutcomeKind::Ok => self.ok += 1,
@@ -70,12 +71,12 @@
         }
     }
 
-    /// Calls that ran to an end.
+    /// Returns the number of calls that ran: all but the shed ones.
     pub fn answered(&self) -> u64 {
         self.ok + self.failed + self.rejected
     }
 
-    /// What was counted since `earlier`.
+    /// Returns the counts added since `earlier`.
     fn since(&self, earlier: &Counts) -> Counts {
         Counts {
             ok: self.ok.saturating_sub(earlier.ok),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Adds the counters of `other`.
+    /// Adds the counters of `other` to these.
     pub fn add_all(&mut self, other: &Counts) {
         self.ok = self.ok.saturating_add(other.ok);
         self.failed = self.failed.saturating_add(other.failed);
@@ -97,7 +98,7 @@
 }
 
 impl CallerCounts {
-    /// Counts one outcome.
+    /// Counts one call outcome; cancelled and shed calls are not counted.
     pub fn record(&mut self, kind: OutcomeKind) {
         match kind {
             OutcomeKind::Cancelled | OutcomeKind::Shed => {}
@@ -114,7 +115,7 @@
 }
 
 impl Totals {
-    /// What was counted since `earlier`.
+    /// Returns the counts added since `earlier`.
     #[must_use]
     pub fn since(&self, earlier: &Totals) -> Totals {
         let mut since = self.clone();
@@ -132,7 +133,7 @@
         since
     }
 
-    /// Adds the counters of `other`.
+    /// Adds the counters of `other` to these.
     pub fn add_all(&mut self, other: &Totals) {
         for (cell, counts) in &other.cells {
             self.cells.entry(cell.clone()).or_default().add_all(counts);
@@ -145,17 +146,17 @@
         self.crashes = self.crashes.saturating_add(other.crashes);
     }
 
-    /// Calls that ran to an end, cold ones left out.
+    /// Returns the number of calls that ran, without cold ones.
     pub fn answered(&self) -> u64 {
         self.cells.values().map(Counts::answered).sum()
     }
 
-    /// Failed calls.
+    /// Returns the number of failed calls, without cold ones.
     pub fn failed(&self) -> u64 {
         self.cells.values().map(|counts| counts.failed).sum()
     }
 
-    /// Rejected calls.
+    /// Returns the number of rejected calls, without cold ones.
     pub fn rejected(&self) -> u64 {
         self.cells.values().map(|counts| counts.rejected).sum()
     }
--- a/crates/sycamore-moves/src/evidence/histogram.rs
+++ b/crates/sycamore-moves/src/evidence/histogram.rs
@@ -1,13 +1,13 @@
-//! Latency histogram with buckets of equal ratio.
+//! Latency histogram with exponential buckets.
 
 use std::time::Duration;
 
-/// Buckets for each doubling of the latency.
+/// Number of buckets per doubling of the latency.
 pub const BUCKETS_PER_OCTAVE: u32 = 4;
-/// Number of buckets: below one millisecond, then up to 65 s, then the rest.
+/// Number of buckets: one below 1 ms, 64 up to 65 s, one above.
 pub const BUCKETS: usize = 66;
 
-/// Counts of calls by latency. Bucket 0 is below 1 ms, bucket `i` starts at `2^((i - 1) / 4)` ms.
+/// Call counts by latency. Bucket 0 is below 1 ms; bucket `i` starts at `2^((i - 1) / 4)` ms.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Histogram {
     counts: [u32; BUCKETS],
@@ -20,36 +20,36 @@
 }
 
 impl Histogram {
-    /// The bucket that `latency` falls into.
+    /// Returns the index of the bucket that contains `latency`.
     pub fn bucket(latency: Duration) -> usize {
         let millis = latency.as_secs_f64() * 1_000.0;
         if millis < 1.0 {
             return 0;
         }
-        // At least 1 ms, so the logarithm is not negative and the conversion truncates it.
-        let octaves = (millis.log2() * f64::from(BUCKETS_PER_OCTAVE)) as usize;
-        (1 + octaves).min(BUCKETS - 1)
+        // From 1 ms on, the logarithm is not negative, so the conversion only truncates it.
+        let steps = (millis.log2() * f64::from(BUCKETS_PER_OCTAVE)) as usize;
+        (1 + steps).min(BUCKETS - 1)
     }
 
-    /// Counts one call.
+    /// Counts one call with this latency.
     pub fn record(&mut self, latency: Duration) {
         self.add(Self::bucket(latency), 1);
     }
 
-    /// Adds `count` calls to `bucket`; a bucket that does not exist counts as the last one.
+    /// Adds `count` calls to `bucket`; an index out of range is taken as the last bucket.
     pub fn add(&mut self, bucket: usize, count: u32) {
-        let slot = &mut self.counts[bucket.min(BUCKETS - 1)];
-        *slot = slot.saturating_add(count);
+        let bucket_count = &mut self.counts[bucket.min(BUCKETS - 1)];
+        *bucket_count = bucket_count.saturating_add(count);
     }
 
-    /// Adds the counts of `other`.
+    /// Adds the counts of `other` bucket by bucket.
     pub fn add_all(&mut self, other: &Histogram) {
-        for (bucket, count) in other.filled() {
+        for (bucket, count) in other.non_empty() {
             self.add(bucket, count);
         }
     }
 
-    /// What was counted since `earlier`.
+    /// Returns the counts added since `earlier`.
     #[must_use]
     pub fn since(&self, earlier: &Histogram) -> Histogram {
         let mut since = self.clone();
@@ -59,22 +59,23 @@
         since
     }
 
-    /// Buckets that hold calls.
-    pub fn filled(&self) -> impl Iterator<Item = (usize, u32)> + '_ {
+    /// Returns the index and count of each bucket that is not empty.
+    pub fn non_empty(&self) -> impl Iterator<Item = (usize, u32)> + '_ {
         self.counts.iter().copied().enumerate().filter(|(_, count)| *count > 0)
     }
 
-    /// All calls.
+    /// Returns the number of calls in all buckets.
     pub fn total(&self) -> u64 {
         self.counts.iter().map(|count| u64::from(*count)).sum()
     }
 
-    /// Calls in buckets above `bucket`.
+    /// Returns the number of calls in buckets above `bucket`.
     pub fn above(&self, bucket: usize) -> u64 {
         self.counts.iter().skip(bucket + 1).map(|count| u64::from(*count)).sum()
     }
 
-    /// The bucket that holds the quantile `q`, 0.0 to 1.0; `None` without calls.
+    /// Returns the index of the bucket that contains the quantile `q`, from 0.0 to 1.0; `None` if
+    /// there are no calls.
     pub fn quantile(&self, q: f64) -> Option<usize> {
         let total = self.total();
         let mut below = 0;
--- a/crates/sycamore-moves/src/evidence/mod.rs
+++ b/crates/sycamore-moves/src/evidence/mod.rs
@@ -1,8 +1,8 @@
-//! Evidence on the two versions of a move: gathered beside each upstream, merged at a few nodes.
+//! Evidence on the two versions of a move: call outcomes counted by each node and merged on a few.
 //!
-//! All counters of one process only grow, and a report carries all of them, so the report with the
-//! highest sequence number holds everything that the earlier ones said. Duplicates and reordering
-//! are therefore harmless.
+//! The counters of a process only grow, and each report carries all of them, so the report with the
+//! highest sequence number contains everything that the earlier ones said. Duplicated and reordered
+//! reports are therefore harmless.
 
 mod codec;
 mod collector;
@@ -18,25 +18,26 @@
 
 use sycamore_types::prelude::*;
 
-/// What one process has seen of one move so far.
+/// Cumulative counters of one process for one move.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Report {
-    /// The move.
+    /// Move that the counters belong to.
     pub mv: MoveId,
-    /// The reporting node's instance.
+    /// Instance that reports.
     pub instance: InstanceId,
-    /// The process, by the generation that it started with.
+    /// Generation that the process started with; together with the instance it identifies the
+    /// process.
     pub incarnation: Incarnation,
-    /// The generation that membership knows it by when it reports: higher than the first one where it
-    /// had to refute its death.
+    /// Generation under which membership knows the process at the time of the report; higher than
+    /// `incarnation` if the process had to refute its death.
     pub generation: Incarnation,
-    /// Grows with each report of this process.
+    /// Sequence number of the report; grows with each report of the process.
     pub seq: u64,
-    /// The version of its upstream.
+    /// Version of the process's upstream.
     pub version: UpstreamVersion,
-    /// The node has agreed that the watch period was clean, and will find nothing against the
-    /// version any more.
+    /// Whether the node has confirmed that the watch period was clean; it raises no verdict on the
+    /// version after that.
     pub confirmed: bool,
-    /// The counters.
+    /// Counters of the process since it started.
     pub totals: Totals,
 }
--- a/crates/sycamore-moves/tests/evidence.rs
+++ b/crates/sycamore-moves/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence: merging, encoding, and what a collector counts.
+//! Tests of merging, encoding and collecting evidence.
 
 mod support;
 
@@ -10,7 +10,7 @@
 };
 use sycamore_types::prelude::*;
 
-/// A report of one of few processes, whose counters grow with its sequence number.
+/// Arbitrary report of one of four processes, whose counters grow with its sequence number.
 #[derive(Debug, Clone)]
 struct AnyReport(Report);
 
@@ -61,16 +61,16 @@
         ledger(&a) == ledger(&shuffled)
     }
 
-    fn encoding_loses_nothing(report: AnyReport) -> bool {
+    fn a_decoded_report_equals_the_encoded_one(report: AnyReport) -> bool {
         decode(&encode(&report.0)).as_ref() == Ok(&report.0)
     }
 
-    fn no_bytes_panic(bytes: Vec<u8>) -> bool {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes: Vec<u8>) -> bool {
         let _ = decode(&bytes);
         true
     }
 
-    fn a_latency_is_within_its_bucket(micros: u32) -> bool {
+    fn a_latency_longer_by_a_fifth_is_at_most_two_buckets_higher(micros: u32) -> bool {
         let latency = Duration::from_micros(u64::from(micros));
         let longer = latency.mul_f64(1.2);
         Histogram::bucket(latency) <= Histogram::bucket(longer)
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn cold_calls_count_apart_and_cancelled_ones_not() {
+fn cold_calls_are_counted_separately_and_cancelled_ones_not_at_all() {
     let mut collector = collector();
     collector.record(Time::from_millis(1), &call(OutcomeKind::Failed, true));
     collector.record(Time::from_millis(2), &call(OutcomeKind::Cancelled, false));
@@ -121,8 +121,9 @@
     assert_eq!((totals.cold, totals.answered(), totals.failed()), (1, 1, 0));
 }
 
+/// A crash breaks all calls in flight at once; counted singly, one crash would condemn a version.
 #[test]
-fn a_burst_of_broken_calls_counts_once() {
+fn a_burst_of_broken_calls_counts_as_one_failure() {
     let mut collector = collector();
     for _ in 0..12 {
         collector.record(Time::from_millis(10), &call(OutcomeKind::Broken, false));
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn calls_that_go_on_breaking_all_count() {
+fn calls_that_break_over_several_periods_all_count() {
     let mut collector = collector();
     for tenth in 0..50 {
         collector.record(Time::from_millis(tenth * 100), &call(OutcomeKind::Broken, false));
@@ -142,17 +143,17 @@
 }
 
 #[test]
-fn a_report_goes_out_only_when_something_changed() {
+fn a_report_is_made_only_after_a_change() {
     let mut collector = collector();
     assert!(collector.report(Time(0), false).is_some());
     assert!(collector.report(Time(0), false).is_none());
-    assert!(collector.report(Time(0), true).expect("confirmed").confirmed);
+    assert!(collector.report(Time(0), true).expect("changed").confirmed);
     let again = collector.repeat();
     assert_eq!(again.seq, 3);
 }
 
 quickcheck! {
-    fn what_was_counted_since_adds_up(a: AnyReport, b: AnyReport) -> bool {
+    fn totals_since_an_earlier_state_are_what_was_added(a: AnyReport, b: AnyReport) -> bool {
         let mut sum = a.0.totals.clone();
         sum.add_all(&b.0.totals);
         sum.since(&a.0.totals).answered() == b.0.totals.answered()
