--- a/crates/sycamore-moves/src/lib.rs
+++ b/crates/sycamore-moves/src/lib.rs
@@ -1,7 +1,7 @@
-//! Release moves: sheet, plan, ramp, evidence, verdict and report.
+//! Release moves, which shift a service's traffic from one version to another step by step.
 //!
-//! Every module is pure: time and messages come in as values, and what is to be done goes out as
-//! values. The daemon, the models and the measurements run the same code.
+//! No module does input or output: time and messages are passed in as values, and side effects are
+//! returned as values. The daemon, the model checks and the benchmarks run the same code.
 
 pub mod control;
 pub mod evidence;
--- a/crates/sycamore-moves/src/ramp/fit.rs
+++ b/crates/sycamore-moves/src/ramp/fit.rs
@@ -1,4 +1,4 @@
-//! Fits a schedule to the time from start to deadline.
+//! Computation of a schedule that fits the time from start to deadline.
 
 use super::{Schedule, Step};
 use crate::plan::MoveSpec;
@@ -6,35 +6,36 @@
 use sycamore_types::share::Share;
 use sycamore_types::time::WallTime;
 
-/// Shortest time from start to deadline that a schedule fits into.
+/// Shortest time from start to deadline that a move may have.
 pub const MIN_WINDOW: Duration = Duration::from_secs(5);
 
-/// A window below this leaves no time for the usual steps: evidence of some hundred calls a second
-/// takes seconds for each.
+/// Window below which fewer and shorter steps are used. At some hundred calls per second,
+/// collecting the evidence for each step takes seconds, which leaves no time for the usual steps.
 const SHORT_WINDOW: Duration = Duration::from_secs(60);
 
-/// How a schedule is cut.
+/// Shares, holds and margins of a schedule.
 #[derive(Debug, Clone)]
 pub struct FitOptions {
-    /// Shares after the cap and before the watch period, with the part of the holding time that
-    /// each gets and the margin that its evidence must rule out. The first entry is the cap itself,
-    /// whose share the move's own replaces.
+    /// Steps before the watch period: the share, the fraction of the total hold time that the step
+    /// gets, and the margin that its evidence must rule out. The share of the first entry is
+    /// replaced by the move's cap.
     pub steps: Vec<(Share, f64, Share)>,
-    /// Share during the watch period; the rest stays on the old version to compare with.
+    /// Share during the watch period; the rest stays on the old version for comparison.
     pub watch_share: Share,
     /// Margin that the evidence of the watch period must rule out.
     pub watch_margin: Share,
-    /// Part of the whole time that the watch period gets where the move names none.
-    pub watch_part: f64,
-    /// Longest watch period that is chosen without being asked for.
+    /// Fraction of the window that the watch period gets if the move specifies none.
+    pub watch_fraction: f64,
+    /// Maximum length of a watch period that the move does not specify.
     pub max_watch: Duration,
-    /// Part of the ramp time that is spent on holds; the rest is left for evidence that comes slowly.
-    pub hold_part: f64,
+    /// Fraction of the ramp time that is spent on holds; the rest is reserve for evidence that
+    /// comes slowly.
+    pub hold_fraction: f64,
 }
 
 impl FitOptions {
-    /// Options for a window from start to deadline: the usual ones, or few and short steps where
-    /// there are seconds only.
+    /// Returns the options for a window from start to deadline: the default ones, or fewer and
+    /// shorter steps if the window is below a minute.
     pub fn for_window(window: Duration) -> Self {
         if window >= SHORT_WINDOW {
             return Self::default();
@@ -47,7 +48,7 @@
                 (points(5_000), 0.3, points(400)),
             ],
             watch_margin: points(200),
-            watch_part: 0.15,
+            watch_fraction: 0.15,
             ..Self::default()
         }
     }
@@ -65,20 +66,21 @@
             ],
             watch_share: points(9_500),
             watch_margin: points(100),
-            watch_part: 0.25,
+            watch_fraction: 0.25,
             max_watch: Duration::from_secs(1_800),
-            hold_part: 0.6,
+            hold_fraction: 0.6,
         }
     }
 }
 
-/// The schedule of `spec` when agreed at `now`; a start in the past begins at once.
+/// Computes the schedule of `spec` for a move that is accepted at `now`. A start in the past counts
+/// as `now`.
 pub fn fit(spec: &MoveSpec, now: WallTime, options: &FitOptions) -> Schedule {
     let start = spec.start.max(now);
     let window = spec.deadline.since(start);
     let watch =
-        spec.watch.unwrap_or_else(|| window.mul_f64(options.watch_part).min(options.max_watch));
-    let holds = window.saturating_sub(watch).mul_f64(options.hold_part);
+        spec.watch.unwrap_or_else(|| window.mul_f64(options.watch_fraction).min(options.max_watch));
+    let holds = window.saturating_sub(watch).mul_f64(options.hold_fraction);
     let mut steps = ramp_steps(spec, start, holds, options);
     let watch_at = steps.last().map_or(start, |step| step.at + step.hold);
     steps.push(Step {
@@ -96,6 +98,8 @@
     Schedule { steps, deadline: spec.deadline }
 }
 
+/// Returns the steps before the watch period, with `holds` divided between them. Steps whose share
+/// is not above the move's cap are left out.
 fn ramp_steps(
     spec: &MoveSpec,
     start: WallTime,
--- a/crates/sycamore-moves/src/ramp/mod.rs
+++ b/crates/sycamore-moves/src/ramp/mod.rs
@@ -1,4 +1,4 @@
-//! The schedule of a move: its shares with the guard of each, fitted to the deadline.
+//! Schedule of a move: traffic shares with the conditions for each, fitted to the deadline.
 
 mod fit;
 
@@ -10,52 +10,55 @@
 use sycamore_types::share::Share;
 use sycamore_types::time::WallTime;
 
-/// One step: a share, and what must be seen at it before the next one.
+/// Step of a schedule: a traffic share and the conditions for clearing it.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Step {
-    /// Share of the new version.
+    /// Share of the new version during the step.
     pub share: Share,
-    /// The earliest time of the step.
+    /// Earliest time at which the step opens.
     pub at: WallTime,
-    /// Time that the step is held at least, in milliseconds.
+    /// Minimum time that the step is held; written in milliseconds.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "hold_ms")]
     pub hold: Duration,
-    /// Share of failures above the old version's that the evidence must rule out.
+    /// Excess of the new version's failure rate over the old version's that the evidence must rule
+    /// out before the step is cleared.
     pub margin: Share,
 }
 
-/// The whole schedule. Clearing step `k` opens step `k + 1`; the last step is all traffic, and the
-/// last but one is the watch period, with a rest of the traffic on the old version to compare with.
+/// Schedule of a move. Clearing step `k` opens step `k + 1`. The last step has all traffic; the one
+/// before it is the watch period, in which the old version keeps some traffic for comparison.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Schedule {
-    /// The steps, at least two, with growing shares.
+    /// Steps of the schedule, at least two, with growing shares.
     pub steps: Vec<Step>,
-    /// When the move must be decided.
+    /// Time by which the move must be decided.
     pub deadline: WallTime,
 }
 
 impl Schedule {
-    /// Index of the watch period.
+    /// Returns the index of the watch period's step.
     pub fn watch_step(&self) -> usize {
         self.steps.len().saturating_sub(2)
     }
 
-    /// The step that is open at `now` with steps before `cleared` cleared; `None` before the start.
+    /// Returns the index of the step that is open at `now` when the first `cleared` steps are
+    /// cleared; `None` before the start.
     pub fn open_step(&self, now: WallTime, cleared: usize) -> Option<usize> {
         let reached = self.steps.iter().take(cleared + 1).filter(|step| step.at <= now).count();
         reached.checked_sub(1)
     }
 
-    /// The share at `now` with steps before `cleared` cleared.
+    /// Returns the new version's share at `now` when the first `cleared` steps are cleared.
     pub fn share(&self, now: WallTime, cleared: usize) -> Share {
         let step = self.open_step(now, cleared).and_then(|step| self.steps.get(step));
         step.map_or(Share::NONE, |step| step.share)
     }
 
-    /// Time that step `index` is held: as agreed while the schedule is on time, shorter where less
-    /// time is left than the ramp still takes, down to a quarter. The watch period never shrinks.
+    /// Returns the minimum time that step `index` is held if it was opened at `opened`. If less
+    /// time is left than the rest of the ramp takes, the hold is shortened in proportion, down to a
+    /// quarter. The watch period is never shortened.
     pub fn hold(&self, index: usize, opened: WallTime) -> Duration {
         let Some(step) = self.steps.get(index) else { return Duration::ZERO };
         let watch = self.watch_step();
@@ -72,5 +75,5 @@
     }
 }
 
-/// Smallest part of an agreed hold that is kept where time runs short.
+/// Smallest factor by which a scheduled hold is shortened when time runs short.
 const MIN_HOLD_FACTOR: f64 = 0.25;
