--- a/crates/sycamore-moves/src/plan/before.rs
+++ b/crates/sycamore-moves/src/plan/before.rs
@@ -1,12 +1,13 @@
-//! Which version an ordered move starts from.
+//! Selection of the old version for a move that is ordered by its new version only.
 
 use super::{MoveSpec, OutcomeKind};
 use std::collections::BTreeMap;
 use sycamore_types::prelude::*;
 
-/// The version that an order to move `service` to `to` starts from: where the service's last move
-/// left it, if that version serves, else the one that serves most often. A version that was just
-/// taken back may serve on the most instances and must not be gone back to.
+/// Returns the old version for a move of `service` to `to`: the version that the service's last
+/// move left in force, if an instance serves it, or else the version that most instances serve. A
+/// version that was just taken back may still be the one on most instances, but must not get
+/// traffic again. `None` if no other version than `to` is served.
 pub fn version_before<'a>(
     service: &ServiceName,
     to: &UpstreamVersion,
@@ -17,11 +18,13 @@
     for version in serving.filter(|version| *version != to) {
         *counts.entry(version).or_default() += 1;
     }
-    let last = moves.filter(|(spec, _)| spec.service == *service);
-    let last = last.max_by_key(|(spec, _)| spec.start).map(|(spec, outcome)| match outcome {
-        Some(OutcomeKind::Done) => &spec.to,
-        Some(OutcomeKind::TakenBack) | None => &spec.from,
-    });
-    let most = || counts.iter().max_by_key(|(_, count)| **count).map(|(version, _)| *version);
-    last.filter(|version| counts.contains_key(version)).or_else(most).cloned()
+    let of_service = moves.filter(|(spec, _)| spec.service == *service);
+    let left_in_force =
+        of_service.max_by_key(|(spec, _)| spec.start).map(|(spec, outcome)| match outcome {
+            Some(OutcomeKind::Done) => &spec.to,
+            Some(OutcomeKind::TakenBack) | None => &spec.from,
+        });
+    let most_frequent =
+        || counts.iter().max_by_key(|(_, count)| **count).map(|(version, _)| *version);
+    left_in_force.filter(|version| counts.contains_key(version)).or_else(most_frequent).cloned()
 }
--- a/crates/sycamore-moves/src/plan/change.rs
+++ b/crates/sycamore-moves/src/plan/change.rs
@@ -1,41 +1,41 @@
-//! Changes to single moves, and how a write whose answer was lost is settled.
+//! Changes to single moves, and settling of writes whose answer was lost.
 
 use super::row::{move_key, Author, Cause, MoveRow, Outcome, OutcomeKind, Summary};
 use std::fmt;
 use sycamore_types::prelude::*;
 
-/// One row to write, on the condition that it still has the revision that was read.
+/// Compare-and-set write of one row: it takes effect only if the row still has the revision read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write<T> {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// The revision that was read; 0 where the row was absent.
+    /// Revision that was read; 0 if the row was absent.
     pub revision: u64,
-    /// The new row.
+    /// New value of the row.
     pub row: T,
 }
 
-/// Who and what makes a change.
+/// Origin of a change to a row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Who.
+    /// Operator or node that makes the change.
     pub author: Author,
-    /// The operation's id, the same through all of its tries.
+    /// Operation id, the same in all attempts.
     pub op: OpId,
-    /// When.
+    /// Time of the change.
     pub at: WallTime,
 }
 
-/// A change that came too late: another one stands.
+/// Error of a change that lost against another one, which stays in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Conflict {
-    /// Who won.
+    /// Operator or node whose change is in force.
     pub winner: Author,
-    /// The winning operation.
+    /// Operation id of the change in force.
     pub op: OpId,
-    /// When it was written.
+    /// Time of the change in force.
     pub at: WallTime,
-    /// What stands, in a few words.
+    /// State of the row in force, as a phrase for people.
     pub stands: String,
 }
 
@@ -48,7 +48,7 @@
 impl std::error::Error for Conflict {}
 
 impl Conflict {
-    /// The conflict with `row` as it stands.
+    /// Creates the conflict with `row`, the row in force.
     pub fn with(row: &MoveRow) -> Self {
         let stands = match &row.outcome {
             None => format!("move {} was changed", row.spec.mv),
@@ -61,10 +61,10 @@
     }
 }
 
-/// Ends a move. Its outcome is written once: a row that has one already is a conflict.
+/// Returns the write that ends a move with `outcome`. An outcome is written only once.
 ///
 /// # Errors
-/// [`Conflict`] where the move has ended.
+/// [`Conflict`] if the row already has an outcome.
 pub fn end(
     row: &MoveRow,
     revision: u64,
@@ -80,10 +80,10 @@
     Ok(Write { key, revision, row })
 }
 
-/// Aborts a move at an operator's word.
+/// Returns the write that ends a move as aborted, with the operator's `reason`.
 ///
 /// # Errors
-/// [`Conflict`] where the move has ended.
+/// [`Conflict`] if the row already has an outcome.
 pub fn abort(
     row: &MoveRow,
     revision: u64,
@@ -102,21 +102,21 @@
     end(row, revision, outcome, change)
 }
 
-/// What became of a write whose answer was lost or was a conflict.
+/// Result of a write whose answer was lost or was a conflict.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Settled {
     /// The write took effect.
     Won,
-    /// The row is as it was read: the write did not take effect and may be tried again.
+    /// The row is unchanged: the write did not take effect and may be retried.
     Unchanged,
-    /// Another write stands.
+    /// Another write took effect instead.
     Lost(Box<Conflict>),
 }
 
-/// Settles a write by the row read back, never by guessing.
+/// Determines whether a write took effect, from the row that was read back and its `revision`.
 ///
-/// A row with a higher revision by another operation may have been written after ours; then ours
-/// counts only if its outcome is the one that stands.
+/// A row of another operation with a higher revision may have been written after this write took
+/// effect; then the write counts as won only if the row has its outcome.
 pub fn settle(write: &Write<MoveRow>, read: &MoveRow, revision: u64) -> Settled {
     if read.op == write.row.op {
         Settled::Won
--- a/crates/sycamore-moves/src/plan/import.rs
+++ b/crates/sycamore-moves/src/plan/import.rs
@@ -1,4 +1,4 @@
-//! Import of a sheet into a plan: what is new, what differs, what stays; all of it or nothing.
+//! Import of a sheet into a plan: all of its changes are written in one transaction, or none.
 
 use super::change::{Change, Write};
 use super::row::{move_key, plan_key, Author, MoveRow, MoveSpec, PlanRow};
@@ -8,60 +8,61 @@
 use std::fmt;
 use sycamore_types::prelude::*;
 
-/// The plan and its moves as read from the table, with their revisions.
+/// Plan and moves as read from the table, with the revisions of their rows.
 #[derive(Debug, Clone, Default)]
 pub struct Stored {
-    /// The plan's row.
+    /// Row of the plan; `None` if the plan is new.
     pub plan: Option<(PlanRow, u64)>,
-    /// The moves' rows.
+    /// Rows of the moves; those of other plans are used to find overlaps.
     pub moves: BTreeMap<MoveId, (MoveRow, u64)>,
 }
 
-/// A field that a changed sheet gives another value.
+/// Field of a move that differs between the table and the sheet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct FieldChange {
-    /// The column's name.
+    /// Name of the sheet's column.
     pub field: &'static str,
-    /// The value that the table holds.
+    /// Value in the table.
     pub was: String,
-    /// The value that the sheet gives.
+    /// Value in the sheet.
     pub is: String,
 }
 
-/// What an import changes.
+/// Differences between a sheet and the table.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Diff {
-    /// Moves that the table did not hold.
+    /// Moves that the table does not hold yet.
     pub added: Vec<MoveId>,
-    /// Moves that differ, with their fields.
+    /// Moves that differ, each with the differing fields.
     pub changed: Vec<(MoveId, Vec<FieldChange>)>,
-    /// Moves that are as they were.
+    /// Moves that do not differ.
     pub same: Vec<MoveId>,
-    /// Moves of the plan that the sheet no longer names. They stay: taking one back is a command.
+    /// Moves of the plan that the sheet no longer names. They stay in force: only an abort takes
+    /// one back.
     pub missing: Vec<MoveId>,
 }
 
-/// What an import writes, in one transaction.
+/// Rows that an import writes in one transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Imported {
-    /// What differs from the table.
+    /// Differences to the table before the import.
     pub diff: Diff,
-    /// The plan's row; `None` where nothing differs, and then there is nothing to write.
+    /// Write of the plan's row; `None` if nothing differs and nothing is written.
     pub plan: Option<Write<PlanRow>>,
-    /// The moves' rows.
+    /// Writes of the added and changed moves' rows.
     pub moves: Vec<Write<MoveRow>>,
 }
 
-/// Why one move of a sheet cannot be taken.
+/// Reason why a move of a sheet cannot be imported.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ImportRefusal {
-    /// The move has begun, so that its row may not change; abort it and plan another.
+    /// The move has begun, so its row must not change any more.
     Begun,
-    /// The move has ended.
+    /// The move has ended, so its row must not change any more.
     Ended,
     /// The deadline is in the past.
     Late,
-    /// The move overlaps with another open move of its service.
+    /// The move overlaps in time with this open move of the same service.
     Overlap(MoveId),
 }
 
@@ -72,7 +73,7 @@
                 write!(f, "has begun and cannot change; abort it and plan another move")
             }
             ImportRefusal::Ended => write!(f, "has ended and cannot change; plan another move"),
-            ImportRefusal::Late => write!(f, "its deadline is in the past"),
+            ImportRefusal::Late => write!(f, "deadline is in the past"),
             ImportRefusal::Overlap(other) => {
                 write!(f, "overlaps with move {other} of the same service")
             }
@@ -80,10 +81,10 @@
     }
 }
 
-/// The moves that cannot be taken; nothing is imported.
+/// Error of an import: at least one move was refused, so nothing was imported.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ImportError {
-    /// Each move with its reason.
+    /// Refused moves, each with the reason.
     pub refusals: Vec<(MoveId, ImportRefusal)>,
 }
 
@@ -95,10 +96,11 @@
 
 impl std::error::Error for ImportError {}
 
-/// Compares a sheet with the table and says what to write.
+/// Compares a sheet's moves with the table and returns the rows to write.
 ///
 /// # Errors
-/// [`ImportError`] where a move that differs has begun or ended, comes too late or overlaps.
+/// [`ImportError`] if a move that differs has begun or ended, has a deadline in the past or
+/// overlaps.
 pub fn import(
     plan: &PlanId,
     specs: &[MoveSpec],
@@ -122,7 +124,7 @@
             None => diff.added.push(spec.mv.clone()),
             Some((row, _)) => diff.changed.push((spec.mv.clone(), differences(&row.spec, spec))),
         }
-        writes.push(write(plan, spec, old.map_or(0, |(_, revision)| *revision), change));
+        writes.push(write_move(plan, spec, old.map_or(0, |(_, revision)| *revision), change));
     }
     diff.missing = missing(specs, stored);
     if !refusals.is_empty() {
@@ -132,6 +134,7 @@
     Ok(Imported { diff, plan, moves: writes })
 }
 
+/// Returns why a move that differs from the table cannot be imported, if there is a reason.
 fn refusal(
     spec: &MoveSpec,
     old: Option<&MoveRow>,
@@ -156,7 +159,8 @@
     overlapping.map(|row| ImportRefusal::Overlap(row.spec.mv.clone()))
 }
 
-fn write(plan: &PlanId, spec: &MoveSpec, revision: u64, change: &Change) -> Write<MoveRow> {
+/// Returns the write of a move's row, with a schedule computed at the time of the change.
+fn write_move(plan: &PlanId, spec: &MoveSpec, revision: u64, change: &Change) -> Write<MoveRow> {
     let row = MoveRow {
         plan: plan.clone(),
         spec: spec.clone(),
@@ -169,6 +173,7 @@
     Write { key: move_key(plan, &spec.mv), revision, row }
 }
 
+/// Returns the write of the plan's row, which keeps the moves that the sheet no longer names.
 fn write_plan(
     plan: &PlanId,
     specs: &[MoveSpec],
@@ -188,11 +193,13 @@
     Write { key: plan_key(plan), revision, row }
 }
 
+/// Returns the moves of the stored plan that the sheet no longer names.
 fn missing(specs: &[MoveSpec], stored: &Stored) -> Vec<MoveId> {
     let of_plan = stored.plan.iter().flat_map(|(row, _)| &row.moves);
     of_plan.filter(|mv| specs.iter().all(|spec| spec.mv != **mv)).cloned().collect()
 }
 
+/// Returns the fields in which two versions of a move differ.
 fn differences(was: &MoveSpec, is: &MoveSpec) -> Vec<FieldChange> {
     let fields = [
         ("service", was.service.to_string(), is.service.to_string()),
@@ -208,7 +215,7 @@
     differing.map(|(field, was, is)| FieldChange { field, was, is }).collect()
 }
 
-/// The conflict that an import met, from the plan's row that stands.
+/// Creates the conflict of an import with the plan's row in force.
 impl From<&PlanRow> for super::Conflict {
     fn from(row: &PlanRow) -> Self {
         let stands = format!("plan {} was imported", row.plan);
--- a/crates/sycamore-moves/src/plan/mod.rs
+++ b/crates/sycamore-moves/src/plan/mod.rs
@@ -1,5 +1,5 @@
 //! Plans and moves as rows of the platform's table, and the changes that operators and nodes make
-//! to them. Every change is a compare-and-set on revisions that carries an operation id.
+//! to them. Every change is a compare-and-set on the rows' revisions and carries an operation id.
 
 mod before;
 mod change;
--- a/crates/sycamore-moves/src/plan/row.rs
+++ b/crates/sycamore-moves/src/plan/row.rs
@@ -1,4 +1,4 @@
-//! Rows of the platform's table, in JSON.
+//! Rows of plans and moves in the platform's table, stored as JSON.
 
 use crate::ramp::Schedule;
 use serde::{Deserialize, Serialize};
@@ -7,66 +7,66 @@
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// Share that a version may have before evidence speaks for it, where the sheet names none.
+/// Default of [`MoveSpec::cap`], for moves whose sheet names no cap.
 pub const DEFAULT_CAP: Share = Share::from_basis_points(500);
-/// Prefix of the keys of all moves.
+/// Prefix of the keys of all moves' rows.
 pub const MOVE_PREFIX: &str = "move/";
 
-/// Key of a plan's row.
+/// Returns the key of a plan's row.
 pub fn plan_key(plan: &PlanId) -> String {
     format!("plan/{plan}")
 }
 
-/// Key of a move's row.
+/// Returns the key of a move's row.
 pub fn move_key(plan: &PlanId, mv: &MoveId) -> String {
     format!("{MOVE_PREFIX}{plan}/{mv}")
 }
 
-/// What happens to a move whose evidence does not suffice by its deadline.
+/// Action on a move whose evidence does not suffice by its deadline.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OnTimeout {
-    /// It is taken back.
+    /// Take the move back.
     #[default]
     TakeBack,
-    /// It keeps its share and may finish late.
+    /// Keep the share; the move may be done after its deadline.
     Hold,
 }
 
-/// A move as a planner asked for it.
+/// Specification of a move, as the planner wrote it.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MoveSpec {
-    /// The move.
+    /// Name of the move.
     pub mv: MoveId,
-    /// The service.
+    /// Service whose traffic is moved.
     pub service: ServiceName,
-    /// The version that serves now.
+    /// Old version, which serves before the move.
     pub from: UpstreamVersion,
-    /// The version that takes over.
+    /// New version, which takes over.
     pub to: UpstreamVersion,
-    /// When the new version gets its first traffic.
+    /// Time at which the new version gets its first traffic.
     pub start: WallTime,
-    /// When it must have taken over.
+    /// Time by which the new version must have taken over.
     pub deadline: WallTime,
-    /// Its share before evidence speaks for it.
+    /// Share of the new version during the first step, before there is evidence on it.
     pub cap: Share,
-    /// Time that it is watched at nearly full share, in milliseconds; `None` leaves it to the
-    /// schedule.
+    /// Length of the watch period, in which the new version has nearly all traffic; written in
+    /// milliseconds. `None` lets the schedule choose it.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "watch_ms")]
     pub watch: Option<Duration>,
-    /// What happens where evidence does not suffice by the deadline.
+    /// Action if the evidence does not suffice by the deadline.
     pub on_timeout: OnTimeout,
 }
 
-/// Who wrote a row.
+/// Writer of a row.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Author {
-    /// An operator's command.
+    /// Operator, by a command.
     Operator(OperatorName),
-    /// A node, on evidence or on time.
+    /// Node, because of evidence or because the deadline passed.
     Node(InstanceId),
 }
 
@@ -79,100 +79,100 @@
     }
 }
 
-/// The row of a plan.
+/// Row of a plan in the platform's table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PlanRow {
-    /// The plan.
+    /// Name of the plan.
     pub plan: PlanId,
-    /// Its moves, in the order of the sheet.
+    /// Moves of the plan, in the order of the sheet.
     pub moves: Vec<MoveId>,
-    /// Who imported it last.
+    /// Operator who imported the plan last.
     pub author: Author,
-    /// The operation that wrote the row.
+    /// Id of the operation that wrote the row.
     pub op: OpId,
-    /// When.
+    /// Time at which the row was written.
     pub at: WallTime,
 }
 
-/// The row of a move.
+/// Row of a move in the platform's table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MoveRow {
-    /// The plan that it belongs to.
+    /// Plan that the move belongs to.
     pub plan: PlanId,
-    /// What was asked for.
+    /// Specification from the sheet.
     pub spec: MoveSpec,
-    /// The agreed schedule. It is whole, so that no later write is needed to climb it.
+    /// Schedule of the move. It holds all steps, so going through them needs no further write.
     pub schedule: Schedule,
-    /// Its end; `None` while it is open. Written once.
+    /// Outcome of the move, written once; `None` while it is open.
     pub outcome: Option<Outcome>,
-    /// Who wrote the row last.
+    /// Operator or node that wrote the row last.
     pub author: Author,
-    /// The operation that wrote the row.
+    /// Id of the operation that wrote the row.
     pub op: OpId,
-    /// When.
+    /// Time at which the row was written.
     pub at: WallTime,
 }
 
-/// How a move ended.
+/// Final state of a move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OutcomeKind {
-    /// The new version has taken over.
+    /// The new version has taken over all traffic.
     Done,
-    /// The new version has lost its traffic.
+    /// The old version has all traffic again.
     TakenBack,
 }
 
-/// What decided a move.
+/// Cause of a move's outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// The watch period passed clean on every live instance.
+    /// Every live instance of the new version has confirmed that the watch period was clean.
     Proven,
-    /// The version was found bad.
+    /// The tests found the new version bad.
     Bad,
     /// An operator aborted the move.
     Aborted,
-    /// Evidence did not suffice by the deadline.
+    /// The evidence did not suffice by the deadline.
     Timeout,
 }
 
-/// Counts that an outcome was decided on.
+/// Counts on which an outcome was decided.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Summary {
-    /// Calls that the new version answered, cold ones included.
+    /// Calls that ran on the new version, including those while it was cold.
     pub calls: u64,
-    /// Of these, failed ones.
+    /// Failed calls among `calls`, without cold ones.
     pub failed: u64,
-    /// Of these, answered with a status of 400 to 499.
+    /// Calls among `calls` answered with a status of 400 to 499, without cold ones.
     pub rejected: u64,
     /// Crashes of instances of the new version.
     pub crashes: u64,
-    /// Calls that the old version answered in the same time.
+    /// Calls that ran on the old version in the same time, without cold ones.
     pub old_calls: u64,
-    /// Of these, failed ones.
+    /// Failed calls among `old_calls`.
     pub old_failed: u64,
 }
 
-/// The end of a move, written once.
+/// Outcome of a move, written once.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Outcome {
-    /// How it ended.
+    /// Final state of the move.
     pub kind: OutcomeKind,
-    /// What decided it.
+    /// Cause of the decision.
     pub cause: Cause,
-    /// Why, in a sentence.
+    /// Reason in a sentence, for operators.
     pub reason: String,
-    /// When it was decided; the row's own time says when that was recorded.
+    /// Time of the decision; the row's `at` is the time at which it was recorded.
     pub at: WallTime,
-    /// The share that the new version had when it was decided.
+    /// Share of the new version at the time of the decision.
     pub share: Share,
-    /// The counts behind it.
+    /// Counts on which the outcome was decided.
     pub evidence: Summary,
 }
 
 impl MoveRow {
-    /// Whether the move has its final outcome.
+    /// Returns whether the move has its outcome.
     pub fn is_ended(&self) -> bool {
         self.outcome.is_some()
     }
--- a/crates/sycamore-moves/tests/before.rs
+++ b/crates/sycamore-moves/tests/before.rs
@@ -1,4 +1,4 @@
-//! Which version an ordered move starts from.
+//! Tests of the old version that is selected for a move ordered by its new version.
 #![allow(clippy::unwrap_used)]
 
 use sycamore_moves::plan::{version_before, MoveSpec, OnTimeout, OutcomeKind};
@@ -8,6 +8,7 @@
     text.parse().unwrap()
 }
 
+/// Move of the service `counter` that starts at `start` ms.
 fn moved(from: &str, to: &str, start: u64) -> MoveSpec {
     MoveSpec {
         mv: format!("m{start}").parse().unwrap(),
@@ -22,6 +23,7 @@
     }
 }
 
+/// Old version selected for a move of `counter` to `to`.
 fn before(to: &str, moves: &[(MoveSpec, Option<OutcomeKind>)], serving: &[&str]) -> Option<String> {
     let serving: Vec<UpstreamVersion> = serving.iter().map(|text| version(text)).collect();
     let moves = moves.iter().map(|(spec, outcome)| (spec, *outcome));
@@ -29,15 +31,15 @@
     version_before(&service, &version(to), moves, serving.iter()).map(|v| v.to_string())
 }
 
+/// The version that was taken back still runs on most instances.
 #[test]
-fn a_version_just_taken_back_is_not_gone_back_to() {
+fn a_version_just_taken_back_is_not_selected() {
     let back = [(moved("v1", "v2", 100), Some(OutcomeKind::TakenBack))];
-    // Its instances still serve, and are the most.
     assert_eq!(before("v3", &back, &["v1", "v2", "v2", "v3"]).unwrap(), "v1");
 }
 
 #[test]
-fn the_last_move_of_the_service_counts() {
+fn the_new_version_of_the_services_last_move_is_selected() {
     let moves = [
         (moved("v1", "v2", 100), Some(OutcomeKind::Done)),
         (moved("v0", "v1", 50), Some(OutcomeKind::Done)),
@@ -47,7 +49,7 @@
 }
 
 #[test]
-fn where_it_left_no_version_that_serves_the_most_frequent_one_is_taken() {
+fn the_most_frequent_version_is_selected_if_the_last_moves_version_is_not_served() {
     let moves = [(moved("v1", "v2", 100), Some(OutcomeKind::Done))];
     assert_eq!(before("v3", &moves, &["v1", "v4", "v4", "v3", "v3", "v3"]).unwrap(), "v4");
     assert_eq!(before("v3", &[], &["v1", "v3", "v3"]).unwrap(), "v1");
--- a/crates/sycamore-moves/tests/plan.rs
+++ b/crates/sycamore-moves/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans and moves: import, abort, end and settling.
+//! Tests of importing plans, of ending and aborting moves, and of settling lost answers.
 
 mod support;
 
@@ -13,6 +13,7 @@
     PlanId::new("morning").expect("valid")
 }
 
+/// Table after a first import of `specs`.
 fn stored_after(specs: &[sycamore_moves::plan::MoveSpec]) -> Stored {
     let imported = import(&plan(), specs, &Stored::default(), &change("ana", 1)).expect("imports");
     let plan = imported.plan.expect("there is something to write");
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn importing_the_same_sheet_after_its_moves_ended_is_harmless() {
+fn importing_the_same_sheet_after_its_deadlines_writes_nothing() {
     let specs = [spec("a")];
     let stored = stored_after(&specs);
     let mut late = change("ana", 2);
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn a_changed_sheet_shows_what_differs() {
+fn importing_a_changed_sheet_reports_and_writes_only_the_differences() {
     let old = [spec("a"), spec("b"), spec("c")];
     let mut new = vec![spec("a"), spec("b"), spec("d")];
     new[1].cap = Share::from_basis_points(900);
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_move_overlapping_another_plans_is_refused() {
+fn a_move_that_overlaps_with_one_of_another_plan_is_refused() {
     let stored = stored_after(&[spec("a")]);
     let mut other = spec("b");
     other.service = spec("a").service;
@@ -77,10 +78,10 @@
 }
 
 #[test]
-fn the_second_of_two_racing_operators_learns_the_winner() {
+fn the_second_of_two_concurrent_aborts_reports_the_first_operator() {
     let first = abort(&row(), 1, "smoke", Summary::default(), change("ana", 7)).expect("open");
     let second = abort(&row(), 1, "fire", Summary::default(), change("ivo", 8)).expect("open");
-    // The platform takes the first; the second is settled against what stands.
+    // The table took the first abort; the second is settled against the row in force.
     match settle(&second, &first.row, 2) {
         Settled::Lost(conflict) => {
             assert!(matches!(conflict.winner, Author::Operator(name) if name.as_str() == "ana"));
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_settled_by_reading_back() {
+fn a_write_with_a_lost_answer_is_settled_from_the_row_read_back() {
     let write = end(&row(), 1, outcome(OutcomeKind::Done), change("ana", 7)).expect("open");
     assert_eq!(settle(&write, &write.row, 2), Settled::Won);
     assert_eq!(settle(&write, &row(), 1), Settled::Unchanged);
@@ -102,13 +103,13 @@
 }
 
 #[test]
-fn an_outcome_is_written_once() {
+fn a_move_that_has_an_outcome_takes_no_other() {
     let write = end(&row(), 1, outcome(OutcomeKind::TakenBack), change("ana", 7)).expect("open");
     assert!(end(&write.row, 2, outcome(OutcomeKind::Done), change("ivo", 8)).is_err());
 }
 
 #[test]
-fn rows_survive_json_and_fit_a_fact() {
+fn a_row_survives_json_and_fits_into_a_fact() {
     let text = serde_json::to_string(&row()).expect("encodes");
     assert!(text.len() <= sycamore_types::fact::MAX_ROW_BYTES, "{} bytes", text.len());
     assert_eq!(serde_json::from_str::<MoveRow>(&text).expect("decodes"), row());
