--- a/crates/sycamore-moves/src/sheet/civil.rs
+++ b/crates/sycamore-moves/src/sheet/civil.rs
@@ -1,15 +1,15 @@
-//! Local times with a zone, as planners write them.
+//! Parsing of local times with a time zone, in the formats that planners use.
 
 use super::Problem;
 use jiff::civil::{Date, DateTime, Time};
 use jiff::tz::{Offset, TimeZone};
 use sycamore_types::time::WallTime;
 
-/// Reads a date, a time and a zone: `2026-12-04 06:30 Europe/Zagreb`, `04.12.2026 06:30:15 +01:00`,
-/// `2026-12-04T06:30:00Z` or `2026-12-04T06:30[Asia/Kolkata]`.
+/// Parses a date, a time and a time zone: `2026-12-04 06:30 Europe/Zagreb`, `04.12.2026 06:30:15
+/// +01:00`, `2026-12-04T06:30:00Z` or `2026-12-04T06:30[Asia/Kolkata]`.
 ///
 /// # Errors
-/// [`Problem::BadTime`] where the text is none of these, [`Problem::AmbiguousTime`] where the zone
+/// [`Problem::BadTime`] if the text has none of these forms, [`Problem::AmbiguousTime`] if the zone
 /// skips or repeats the local time.
 pub fn parse_time(text: &str) -> Result<WallTime, Problem> {
     let bad = || Problem::BadTime(text.to_owned());
--- a/crates/sycamore-moves/src/sheet/fault.rs
+++ b/crates/sycamore-moves/src/sheet/fault.rs
@@ -1,19 +1,19 @@
-//! Faults of a sheet, each with its place.
+//! Faults of a sheet, each with its line and column.
 
 use serde::Serialize;
 use std::fmt;
 use sycamore_types::id::IdError;
 
-/// A fault and where it stands.
+/// Fault of a sheet and its place.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Fault {
     /// Line in the sheet, from 1; 0 for the sheet as a whole.
     pub line: u64,
     /// Column in the sheet, from 1; 0 for the line as a whole.
     pub column: usize,
-    /// Name of the column.
+    /// Name of the column; empty for the sheet or line as a whole.
     pub name: String,
-    /// What is wrong.
+    /// Problem found there; written as its text.
     #[serde(serialize_with = "as_text")]
     pub problem: Problem,
 }
@@ -22,20 +22,21 @@
     serializer.collect_str(problem)
 }
 
-/// What is wrong with a sheet or a field of it.
+/// Problem with a sheet or one of its fields.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Problem {
-    /// The sheet is larger than allowed; holds its size in bytes.
+    /// The sheet is larger than [`MAX_SHEET_BYTES`](super::MAX_SHEET_BYTES); holds its size in
+    /// bytes.
     SheetTooLarge(usize),
-    /// The sheet is not UTF-8; holds the byte offset where it stops being so.
+    /// The sheet is not valid UTF-8; holds the byte offset of the first invalid sequence.
     NotUtf8(usize),
-    /// The sheet holds no move.
+    /// The sheet contains no move.
     Empty,
-    /// The sheet holds more moves than allowed.
+    /// The sheet contains more than [`MAX_MOVES`](super::MAX_MOVES) moves.
     TooManyMoves,
-    /// A record could not be read as CSV; holds the reader's message.
+    /// A record is not valid CSV; holds the CSV reader's message.
     Unreadable(String),
-    /// The header names a column that is not known.
+    /// The header names an unknown column.
     UnknownColumn,
     /// The header names a column twice.
     RepeatedColumn,
@@ -43,15 +44,15 @@
     MissingColumn,
     /// A required field is empty.
     MissingField,
-    /// A field is no identifier.
+    /// A field is not a valid identifier.
     BadId(IdError),
-    /// A field is no time with a zone.
+    /// A field is not a time with a zone; holds its text.
     BadTime(String),
-    /// A local time that the zone skips or repeats.
+    /// The zone skips or repeats the local time in a field.
     AmbiguousTime,
-    /// A field is no share between 0.01% and 50%.
+    /// A field is not a share from 0.01% to 50%.
     BadShare,
-    /// A field is no duration.
+    /// A field is not a duration with a unit.
     BadDuration,
     /// A field is neither `take-back` nor `hold`.
     BadTimeoutRule,
@@ -59,13 +60,13 @@
     SameVersion,
     /// The deadline is not after the start.
     DeadlineNotAfterStart,
-    /// The watch period leaves no time for the ramp.
+    /// The watch period takes more than half of the time from start to deadline.
     WatchTooLong,
-    /// The time between start and deadline is too short for any ramp.
+    /// The time from start to deadline is shorter than [`MIN_WINDOW`](crate::ramp::MIN_WINDOW).
     WindowTooShort,
-    /// The move's name stands already on the line given.
+    /// An earlier line has a move of the same name; holds that line's number.
     RepeatedMove(u64),
-    /// The move overlaps in time with one of the same service, on the line given.
+    /// The move overlaps in time with one of the same service; holds that move's line number.
     Overlap(u64),
 }
 
@@ -95,11 +96,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Problem::SheetTooLarge(bytes) => {
-                write!(f, "{bytes} bytes, at most {} are allowed", super::MAX_SHEET_BYTES)
+                write!(f, "{bytes} bytes exceed the limit of {}", super::MAX_SHEET_BYTES)
             }
             Problem::NotUtf8(offset) => write!(f, "not UTF-8 from byte {offset} on"),
-            Problem::Empty => write!(f, "no moves"),
-            Problem::TooManyMoves => write!(f, "more than {} moves", super::MAX_MOVES),
+            Problem::Empty => write!(f, "contains no moves"),
+            Problem::TooManyMoves => write!(f, "contains more than {} moves", super::MAX_MOVES),
             Problem::Unreadable(message) => write!(f, "not readable as CSV: {message}"),
             Problem::UnknownColumn => write!(f, "unknown column"),
             Problem::RepeatedColumn => write!(f, "column named twice"),
@@ -108,13 +109,16 @@
             Problem::BadId(error) => write!(f, "{error}"),
             Problem::BadTime(text) => write!(
                 f,
-                "{text:?} is no time with a zone, such as \"2026-12-04 06:30 Europe/Zagreb\""
+                "{text:?} is not a time with a zone, such as \"2026-12-04 06:30 Europe/Zagreb\""
             ),
             Problem::AmbiguousTime => {
-                write!(f, "the clocks change at this local time; give it with an offset")
+                write!(
+                    f,
+                    "the clocks change at this local time; give it with an offset such as +02:00"
+                )
             }
-            Problem::BadShare => write!(f, "no share from 0.01% to 50%"),
-            Problem::BadDuration => write!(f, "no duration, such as 45s, 15m or 2h"),
+            Problem::BadShare => write!(f, "not a share from 0.01% to 50%"),
+            Problem::BadDuration => write!(f, "not a duration, such as 45s, 15m or 2h"),
             Problem::BadTimeoutRule => write!(f, "neither take-back nor hold"),
             Problem::SameVersion => write!(f, "the same as the old version"),
             Problem::DeadlineNotAfterStart => write!(f, "not after the start"),
@@ -122,7 +126,7 @@
                 write!(f, "takes more than half of the time from start to deadline")
             }
             Problem::WindowTooShort => write!(f, "less than five seconds after the start"),
-            Problem::RepeatedMove(line) => write!(f, "named on line {line} already"),
+            Problem::RepeatedMove(line) => write!(f, "already named on line {line}"),
             Problem::Overlap(line) => {
                 write!(f, "overlaps with the move of the same service on line {line}")
             }
--- a/crates/sycamore-moves/src/sheet/field.rs
+++ b/crates/sycamore-moves/src/sheet/field.rs
@@ -1,4 +1,4 @@
-//! Columns of the sheet and their fields.
+//! Columns of the sheet and parsing of their fields.
 
 use super::{parse_time, Fault, Problem};
 use crate::plan::{MoveSpec, OnTimeout};
@@ -9,10 +9,12 @@
 use sycamore_types::share::Share;
 use sycamore_types::time::WallTime;
 
+/// Lowest cap that a sheet may name, in basis points.
 const MIN_CAP_BASIS_POINTS: f64 = 1.0;
+/// Highest cap that a sheet may name, in basis points.
 const MAX_CAP_BASIS_POINTS: f64 = 5_000.0;
 
-/// A column of the sheet.
+/// Column of the sheet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Column {
     Move,
@@ -26,7 +28,7 @@
     OnTimeout,
 }
 
-/// All columns.
+/// Columns of the sheet in their usual order.
 pub(super) const COLUMNS: [Column; 9] = [
     Column::Move,
     Column::Service,
@@ -63,7 +65,7 @@
     }
 }
 
-/// Reads the fields of one row and gathers their faults.
+/// Parses the fields of one row and collects their faults.
 pub(super) struct RowReader<'a> {
     header: &'a BTreeMap<Column, usize>,
     record: &'a csv::StringRecord,
@@ -80,7 +82,7 @@
         Self { header, record, line, faults: Vec::new() }
     }
 
-    /// Reads the row; `default_cap` stands where it names none.
+    /// Parses the row; a move that names no cap gets `default_cap`.
     pub(super) fn read(mut self, default_cap: Share) -> Result<MoveSpec, Vec<Fault>> {
         let mv = self.required(Column::Move, id);
         let service = self.required(Column::Service, id);
@@ -151,14 +153,14 @@
     text.parse().map_err(Problem::BadId)
 }
 
-/// The share nearest to `cap` that a sheet may name.
+/// Limits `cap` to the range allowed in a sheet.
 pub(super) fn bounded_cap(cap: Share) -> Share {
     let points = f64::from(cap.basis_points()).clamp(MIN_CAP_BASIS_POINTS, MAX_CAP_BASIS_POINTS);
-    // The range fits, so the conversion loses nothing.
+    // The value is within the allowed range, so the conversion is exact.
     Share::from_basis_points(points as u16)
 }
 
-/// Reads `5`, `5%`, `7,5 %`: percent, with either decimal mark.
+/// Parses a share in percent, with either decimal mark: `5`, `5%` or `7,5 %`.
 fn share(text: &str) -> Result<Share, Problem> {
     let number = text.trim_end_matches('%').trim_end().replace(',', ".");
     let percent: f64 = number.parse().map_err(|_| Problem::BadShare)?;
@@ -166,11 +168,11 @@
     if !(MIN_CAP_BASIS_POINTS..=MAX_CAP_BASIS_POINTS).contains(&points) {
         return Err(Problem::BadShare);
     }
-    // The range was checked, so the conversion loses nothing.
+    // The value is within the allowed range, so the conversion is exact.
     Ok(Share::from_basis_points(points as u16))
 }
 
-/// Reads `500ms`, `45s`, `15m`, `2h`.
+/// Parses a whole number with a unit: `500ms`, `45s`, `15m`, `15min` or `2h`.
 fn duration(text: &str) -> Result<Duration, Problem> {
     let unit_at = text.find(|c: char| !c.is_ascii_digit()).ok_or(Problem::BadDuration)?;
     let (number, unit) = text.split_at(unit_at);
--- a/crates/sycamore-moves/src/sheet/mod.rs
+++ b/crates/sycamore-moves/src/sheet/mod.rs
@@ -1,4 +1,4 @@
-//! The planners' sheet: CSV text to checked moves. Either every row is right or nothing is taken.
+//! Parsing of the planners' sheet, a CSV text, into moves; a sheet with any fault is refused whole.
 
 mod civil;
 mod fault;
@@ -12,31 +12,30 @@
 use std::collections::BTreeMap;
 use sycamore_types::share::Share;
 
-/// Largest accepted sheet, in bytes.
+/// Maximum size of a sheet, in bytes.
 pub const MAX_SHEET_BYTES: usize = 1 << 20;
-/// Most moves in one sheet.
+/// Maximum number of moves in one sheet.
 pub const MAX_MOVES: usize = 500;
-/// Most faults listed; more than these help nobody.
+/// Maximum number of faults reported for one sheet.
 pub const MAX_FAULTS: usize = 200;
 
 const BYTE_ORDER_MARK: &str = "\u{feff}";
 
-/// Reads a sheet; a move that names no cap gets [`DEFAULT_CAP`].
+/// Parses a sheet; a move that names no cap gets [`DEFAULT_CAP`].
 ///
 /// # Errors
-/// As [`parse_with_cap`].
+/// Same as for [`parse_with_cap`].
 pub fn parse(sheet: &[u8]) -> Result<Vec<MoveSpec>, Vec<Fault>> {
     parse_with_cap(sheet, DEFAULT_CAP)
 }
 
-/// Reads a sheet; a move that names no cap gets `cap`, or the nearest share that a
-/// sheet may name.
+/// Parses a sheet; a move that names no cap gets `cap`, limited to the range allowed in a sheet.
 ///
-/// The delimiter is `;` or `,`, whichever the header holds more of. A byte-order mark, CRLF line
-/// ends, quoted fields, blank rows and any order of columns are accepted.
+/// The delimiter is `;` or `,`, whichever occurs more often in the header. A byte-order mark, CRLF
+/// line ends, quoted fields, blank rows and any order of columns are accepted.
 ///
 /// # Errors
-/// Every [`Fault`] of the sheet, in order of line and column, at most [`MAX_FAULTS`].
+/// The faults of the sheet in order of line and column, at most [`MAX_FAULTS`].
 pub fn parse_with_cap(sheet: &[u8], cap: Share) -> Result<Vec<MoveSpec>, Vec<Fault>> {
     if sheet.len() > MAX_SHEET_BYTES {
         return Err(vec![Fault::of_sheet(Problem::SheetTooLarge(sheet.len()))]);
@@ -70,7 +69,7 @@
     matches!(record, Ok(record) if record.iter().all(|field| field.trim().is_empty()))
 }
 
-/// For each known column, where it stands.
+/// Index of each known column within a record.
 type Header = BTreeMap<Column, usize>;
 
 fn read_header(record: csv::Result<csv::StringRecord>) -> Result<Header, Vec<Fault>> {
@@ -78,14 +77,14 @@
     let line = line_of(&record);
     let mut header = Header::new();
     let mut faults = Vec::new();
-    for (at, name) in record.iter().enumerate() {
+    for (index, name) in record.iter().enumerate() {
         let name = name.trim();
         match Column::from_name(name) {
             None if name.is_empty() => {}
-            None => faults.push(Fault::at(line, at, name, Problem::UnknownColumn)),
+            None => faults.push(Fault::at(line, index, name, Problem::UnknownColumn)),
             Some(column) => {
-                if header.insert(column, at).is_some() {
-                    faults.push(Fault::at(line, at, name, Problem::RepeatedColumn));
+                if header.insert(column, index).is_some() {
+                    faults.push(Fault::at(line, index, name, Problem::RepeatedColumn));
                 }
             }
         }
@@ -125,7 +124,7 @@
             break;
         }
     }
-    faults.extend(check_together(header, &rows));
+    faults.extend(check_across_rows(header, &rows));
     if rows.is_empty() && faults.is_empty() {
         faults.push(Fault::of_sheet(Problem::Empty));
     }
@@ -137,8 +136,8 @@
     Err(faults)
 }
 
-/// Faults that only show between rows: repeated names and overlapping moves of one service.
-fn check_together(header: &Header, rows: &[(u64, MoveSpec)]) -> Vec<Fault> {
+/// Finds faults between rows: repeated names and overlapping moves of one service.
+fn check_across_rows(header: &Header, rows: &[(u64, MoveSpec)]) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (i, (line, spec)) in rows.iter().enumerate() {
         for (earlier_line, earlier) in &rows[..i] {
@@ -162,6 +161,7 @@
     record.position().map_or(0, csv::Position::line)
 }
 
+/// Creates the fault of a record that is not valid CSV.
 fn unreadable(error: &csv::Error) -> Fault {
     let line = error.position().map_or(0, csv::Position::line);
     Fault { line, column: 0, name: String::new(), problem: Problem::Unreadable(error.to_string()) }
--- a/crates/sycamore-moves/tests/sheet.rs
+++ b/crates/sycamore-moves/tests/sheet.rs
@@ -1,4 +1,4 @@
-//! The planners' sheet.
+//! Tests of parsing the planners' sheet.
 
 use quickcheck::quickcheck;
 use std::time::Duration;
@@ -8,13 +8,14 @@
 
 const HEADER: &str = "move,service,from,to,start,deadline,cap,watch,on_timeout\n";
 
+/// Texts of the faults of `sheet`.
 fn texts(sheet: &str) -> Vec<String> {
     let faults = parse(sheet.as_bytes()).expect_err("the sheet has faults");
     faults.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn reads_what_a_spreadsheet_exports() {
+fn parses_a_spreadsheet_export_with_byte_order_mark_quotes_and_blank_rows() {
     let sheet = "\u{feff}Move;Service;From;To;Start;Deadline;Cap;Watch;On_Timeout\r\n\
         \"counter-43\";counter;4.2.0;4.3.0;04.12.2026 06:30 Europe/Zagreb;\
         2026-12-04 08:00 Europe/Zagreb;7,5 %;15m;hold\r\n;;;;;;;;\r\n\
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn a_move_without_a_cap_gets_the_one_that_is_set() {
+fn a_move_without_a_cap_gets_the_configured_cap_within_the_allowed_range() {
     let set = Share::from_basis_points(200);
     let window = "2026-12-04 06:30 UTC,2026-12-04 07:00 UTC";
     let sheet = format!("{HEADER}a,counter,1,2,{window},,,\nb,slots,1,2,{window},7%,,\n");
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn lists_every_fault_with_line_and_column() {
+fn reports_every_fault_with_line_and_column() {
     let sheet = format!(
         "{HEADER}a,counter,1,1,2026-12-04 06:30,2026-12-04 05:00 UTC,90%,soon,maybe\n\
          a b,counter,1,,2026-12-04 06:30 UTC,2026-12-04 07:00 UTC,,,\n"
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn refuses_a_header_with_faults() {
+fn reports_unknown_repeated_and_missing_columns() {
     let faults = texts("move,service,from,to,start,deadlin,move\nx\n");
     assert_eq!(faults.len(), 3, "{faults:?}");
     assert!(faults[0].contains("deadlin"));
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn finds_faults_between_rows() {
+fn reports_repeated_and_overlapping_moves() {
     let row = |name: &str, start: &str, end: &str| {
         format!("{name},counter,1,2,2026-12-04 {start} UTC,2026-12-04 {end} UTC,,,\n")
     };
@@ -90,7 +91,7 @@
     .concat();
     let faults = texts(&sheet);
     assert_eq!(faults.len(), 2, "{faults:?}");
-    assert!(faults[0].contains("named on line 2 already"));
+    assert!(faults[0].contains("already named on line 2"));
     assert!(faults[1].contains("overlaps"));
 }
 
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn bounds_hold() {
+fn oversized_empty_and_non_utf8_sheets_are_refused() {
     let large = vec![b'x'; sycamore_moves::sheet::MAX_SHEET_BYTES + 1];
     assert!(parse(&large).is_err());
     assert!(parse(b"").is_err());
@@ -114,13 +115,13 @@
 }
 
 quickcheck! {
-    fn no_input_panics(bytes: Vec<u8>) -> bool {
+    fn parsing_arbitrary_bytes_does_not_panic(bytes: Vec<u8>) -> bool {
         let _ = parse(&bytes);
         let _ = parse(&[HEADER.as_bytes(), &bytes].concat());
         true
     }
 
-    fn no_time_panics(text: String) -> bool {
+    fn parsing_an_arbitrary_time_does_not_panic(text: String) -> bool {
         let _ = parse_time(&text);
         true
     }
