--- a/crates/sycamore-moves/src/report/mod.rs
+++ b/crates/sycamore-moves/src/report/mod.rs
@@ -1,5 +1,5 @@
-//! What an operator reads of each move: done, taken back or not known yet, with times, shares,
-//! counts and a reason.
+//! Reports on moves for operators: done, taken back or not known yet, with times, shares, counts
+//! and a reason.
 
 mod table;
 
@@ -10,59 +10,59 @@
 use serde::{Deserialize, Serialize};
 use sycamore_types::prelude::*;
 
-/// What is known of a move's end.
+/// State of a move, as an operator reads it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It has not begun.
+    /// The move has not begun.
     Planned,
-    /// It has begun and its end is not known yet.
+    /// The move has begun and has no recorded outcome yet.
     NotKnownYet,
-    /// The new version has taken over.
+    /// The new version has taken over all traffic.
     Done,
-    /// The new version has lost its traffic.
+    /// The old version has all traffic again.
     TakenBack,
 }
 
-/// The report on one move.
+/// Report on one move.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MoveReport {
-    /// The plan.
+    /// Plan that the move belongs to.
     pub plan: PlanId,
-    /// The move.
+    /// Name of the move.
     #[serde(rename = "move")]
     pub mv: MoveId,
-    /// The service.
+    /// Service whose traffic is moved.
     pub service: ServiceName,
-    /// The old version.
+    /// Old version, which served before the move.
     pub from: UpstreamVersion,
-    /// The new version.
+    /// New version, which takes over.
     pub to: UpstreamVersion,
-    /// What is known.
+    /// State of the move.
     pub state: State,
-    /// The share of the new version now, or when the outcome was decided.
+    /// Share of the new version now or, once there is an outcome, when it was decided.
     pub share: Share,
-    /// When it began or begins.
+    /// Time at which the move begins or began.
     pub start: WallTime,
-    /// When it must be decided.
+    /// Time by which the move must be decided.
     pub deadline: WallTime,
-    /// When the outcome was decided.
+    /// Time at which the outcome was decided; `None` while the table holds none.
     pub decided: Option<WallTime>,
-    /// When the outcome was recorded; `None` while the table does not hold it.
+    /// Time at which the outcome was recorded; `None` while the table holds none.
     pub recorded: Option<WallTime>,
-    /// Whether the outcome was decided by the deadline; `None` while it is open.
+    /// Whether the outcome was decided by the deadline; `None` while the table holds none.
     pub in_time: Option<bool>,
-    /// What decided it.
+    /// Cause of the outcome; `None` while the table holds none.
     pub cause: Option<Cause>,
-    /// The counts behind it, as far as the reporting node has them.
+    /// Counts of the outcome or, before there is one, those that the reporting node has merged.
     pub evidence: Summary,
-    /// Why, in a sentence.
+    /// Reason for the outcome, or progress of the move, as a phrase.
     pub reason: String,
     /// Revision of the row that the report is based on.
     pub revision: u64,
 }
 
-/// The report on a move as one node knows it.
+/// Creates the report on a move from the state of one node at `wall`.
 pub fn report(control: &MoveControl, wall: WallTime) -> MoveReport {
     let (row, revision) = control.row();
     let phase = control.phase(wall);
@@ -80,7 +80,7 @@
     }
 }
 
-/// The report on a move of which only the row is known.
+/// Creates the report on a move from its row, the share in force and the counts.
 pub fn report_row(row: &MoveRow, revision: u64, share: Share, evidence: Summary) -> MoveReport {
     let open = MoveReport {
         plan: row.plan.clone(),
@@ -119,6 +119,7 @@
     }
 }
 
+/// Returns the progress of an open move as a phrase.
 fn progress(control: &MoveControl, step: usize) -> String {
     let (row, _) = control.row();
     let steps = row.schedule.steps.len();
@@ -135,6 +136,8 @@
     format!("step {} of {steps} {waits}", step + 1)
 }
 
+/// Returns the reason why the new version was withdrawn, and whether that contradicts the recorded
+/// outcome.
 fn withdrawn(control: &MoveControl) -> String {
     let why = control.verdict().unwrap_or("aborted by an operator");
     let (row, _) = control.row();
--- a/crates/sycamore-moves/src/report/table.rs
+++ b/crates/sycamore-moves/src/report/table.rs
@@ -1,4 +1,4 @@
-//! The report as a table for terminals.
+//! Reports formatted as a table for terminals.
 
 use super::{MoveReport, State};
 use jiff::Timestamp;
@@ -7,7 +7,7 @@
 const HEADER: [&str; 9] =
     ["move", "service", "versions", "state", "share", "deadline", "decided", "calls", "reason"];
 
-/// One line a move under a header, columns aligned by spaces.
+/// Formats one line per move under a header, with columns aligned by spaces.
 pub fn table(reports: &[MoveReport]) -> String {
     let mut rows = vec![HEADER.map(str::to_owned)];
     rows.extend(reports.iter().map(row));
