--- a/crates/sycamore-timeline/src/batch.rs
+++ b/crates/sycamore-timeline/src/batch.rs
@@ -1,25 +1,27 @@
-//! When events are written to the object store, which keeps them past their process.
+//! Batching of events for the object store, which keeps them after their process has ended.
 //!
-//! The fleet's writes to the object store are bounded, so each process writes at most one batch in
-//! the time that its part of the budget gives.
+//! The fleet shares a budget of writes to the object store, so each process writes at most one
+//! batch per interval, which grows with the number of nodes.
 
 use crate::ring::Source;
 use std::collections::VecDeque;
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// Bounds of batching.
+/// Limits of a [`Batcher`].
 #[derive(Debug, Clone)]
 pub struct BatchOptions {
-    /// Shortest time between two batches of one process.
+    /// Minimum time between two batches of one process.
     pub min_interval: Duration,
-    /// Longest time that an event waits while the store can be reached and the budget allows.
+    /// Maximum time between two batches of one process while the store can be reached. In a fleet
+    /// so large that its budget would need a longer one, this limit prevails.
     pub max_interval: Duration,
-    /// Batches a second that all processes together may write.
+    /// Number of batches per second that all processes together may write.
     pub fleet_writes_per_s: u32,
-    /// Most events in a batch.
+    /// Maximum number of events in a batch.
     pub max_events: usize,
-    /// Most events that wait; older ones are given up, which leaves a gap in their numbers.
+    /// Maximum number of events that wait; beyond it the oldest are dropped, which leaves a gap in
+    /// the sequence numbers.
     pub max_waiting: usize,
 }
 
@@ -35,89 +37,95 @@
     }
 }
 
-/// Events to be written as one object.
+/// Events to write as one object.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Batch {
-    /// The object's key, which names the first event's number; writing it twice is harmless.
+    /// Key of the object. It contains the first event's sequence number, so writing the batch twice
+    /// writes the same object.
     pub key: String,
-    /// The events.
+    /// Events of the batch, oldest first.
     pub events: Vec<Event>,
 }
 
-/// Gathers the events of one process into batches.
+/// Collects the events of one process into batches.
 #[derive(Debug, Clone)]
 pub struct Batcher {
     source: Source,
     options: BatchOptions,
     waiting: VecDeque<Event>,
-    under_way: Option<Batch>,
-    next: Time,
-    lost: u64,
+    /// Batch that is being written; kept until it is stored.
+    in_flight: Option<Batch>,
+    /// Earliest time of the next write.
+    next_write: Time,
+    dropped: u64,
 }
 
 impl Batcher {
-    /// A batcher for `source`; its first batch goes out after a part of an interval that `seed`
-    /// decides, so that a herd of new processes does not write at once.
+    /// Creates a batcher for `source`. Its first batch is delayed by a fraction of the minimum
+    /// interval that depends on `seed`, so that processes that start together do not write at the
+    /// same time.
     pub fn new(source: Source, options: BatchOptions, seed: u64, now: Time) -> Self {
         let jitter = options.min_interval.mul_f64((seed % 1_000) as f64 / 1_000.0);
         Self {
             source,
             options,
             waiting: VecDeque::new(),
-            under_way: None,
-            next: now + jitter,
-            lost: 0,
+            in_flight: None,
+            next_write: now + jitter,
+            dropped: 0,
         }
     }
 
-    /// Takes in an event.
+    /// Adds an event; if too many wait, the oldest is dropped.
     pub fn push(&mut self, event: &Event) {
         if self.waiting.len() >= self.options.max_waiting {
             self.waiting.pop_front();
-            self.lost += 1;
+            self.dropped += 1;
         }
         self.waiting.push_back(event.clone());
     }
 
-    /// The batch to write at `now` in a fleet of `nodes`, if one is due. The same batch comes again
-    /// until [`Batcher::stored`] is told.
+    /// Returns the batch to write at `now` in a fleet of `nodes`, if one is due. The same batch is
+    /// returned at each interval until [`Batcher::stored`] is called for it.
     pub fn due(&mut self, now: Time, nodes: usize) -> Option<Batch> {
-        if now < self.next {
+        if now < self.next_write {
             return None;
         }
-        if self.under_way.is_none() {
-            self.under_way = self.take();
+        if self.in_flight.is_none() {
+            self.in_flight = self.take_batch();
         }
-        let batch = self.under_way.clone()?;
-        self.next = now + self.interval(nodes);
+        let batch = self.in_flight.clone()?;
+        self.next_write = now + self.interval(nodes);
         Some(batch)
     }
 
-    /// The batch is in the object store.
+    /// Notes that the batch with this key is in the object store.
     pub fn stored(&mut self, key: &str) {
-        if self.under_way.as_ref().is_some_and(|batch| batch.key == key) {
-            self.under_way = None;
+        if self.in_flight.as_ref().is_some_and(|batch| batch.key == key) {
+            self.in_flight = None;
         }
     }
 
-    /// What still waits, as the last batch of a process that stops.
+    /// Returns the batch in flight or else the next one, without regard to the interval; for a
+    /// process that stops.
     pub fn flush(&mut self) -> Option<Batch> {
-        self.under_way.take().or_else(|| self.take())
+        self.in_flight.take().or_else(|| self.take_batch())
     }
 
-    /// Events that were given up.
+    /// Returns the number of events that were dropped.
     pub fn lost(&self) -> u64 {
-        self.lost
+        self.dropped
     }
 
-    /// Time between two batches of one process in a fleet of `nodes`.
+    /// Returns the time between two batches of one process in a fleet of `nodes`.
     pub fn interval(&self, nodes: usize) -> Duration {
         let budget = f64::from(self.options.fleet_writes_per_s.max(1));
-        let part = Duration::from_secs_f64(nodes.max(1) as f64 / budget);
-        part.clamp(self.options.min_interval, self.options.max_interval)
+        let interval = Duration::from_secs_f64(nodes.max(1) as f64 / budget);
+        interval.clamp(self.options.min_interval, self.options.max_interval)
     }
 
-    fn take(&mut self) -> Option<Batch> {
+    /// Removes the oldest waiting events as a batch; `None` if none wait.
+    fn take_batch(&mut self) -> Option<Batch> {
         let count = self.waiting.len().min(self.options.max_events);
         let events: Vec<Event> = self.waiting.drain(..count).collect();
         let first = events.first()?.seq;
--- a/crates/sycamore-timeline/src/lib.rs
+++ b/crates/sycamore-timeline/src/lib.rs
@@ -1,6 +1,7 @@
-//! The time line: typed events, a bounded ring, batches and their merge.
+//! Timeline of a fleet's events: recording on each process, batches for the object store, merging.
 //!
-//! Pure: civil time comes in as a value, and batches go out as values.
+//! No module does input or output: time is passed in as a value, and batches are returned as
+//! values.
 
 pub mod batch;
 pub mod merge;
--- a/crates/sycamore-timeline/src/merge.rs
+++ b/crates/sycamore-timeline/src/merge.rs
@@ -1,11 +1,11 @@
-//! One ordered time line from the events of many processes.
+//! Merging of the events of many processes into one ordered timeline.
 
 use crate::ring::Source;
 use std::collections::BTreeMap;
 use sycamore_types::prelude::*;
 
-/// Orders events by their stamps and drops duplicates. The order is the same whatever the order in
-/// which the events come in.
+/// Sorts events by their stamps and removes duplicates. The result does not depend on the order of
+/// the input.
 pub fn merge(events: impl IntoIterator<Item = Event>) -> Vec<Event> {
     let unique: BTreeMap<_, _> = events
         .into_iter()
@@ -14,19 +14,19 @@
     unique.into_values().collect()
 }
 
-/// Events of a process that are missing between two that are there.
+/// Range of consecutive events of one process that are missing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Gap {
-    /// The process.
+    /// Process that recorded the events.
     pub source: Source,
-    /// Number of the first event that is missing.
+    /// Sequence number of the first missing event.
     pub first: u64,
-    /// Number of the last event that is missing.
+    /// Sequence number of the last missing event.
     pub last: u64,
 }
 
-/// The gaps in the numbers of each process' events; what is missing before the first event counts
-/// too, what may be missing after the last does not.
+/// Finds the gaps in the sequence numbers of each process's events. Events missing before the first
+/// one are a gap as well; events missing after the last one cannot be detected.
 pub fn gaps(events: &[Event]) -> Vec<Gap> {
     let mut numbers: BTreeMap<Source, Vec<u64>> = BTreeMap::new();
     for event in events {
@@ -46,19 +46,19 @@
     gaps
 }
 
-/// Which events to show; a field that is `None` lets all pass.
+/// Filter of events; a field that is `None` accepts all.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Filter {
-    /// The move that the event is about.
+    /// Move that the event must concern.
     pub mv: Option<MoveId>,
-    /// The instance that recorded it.
+    /// Instance that must have recorded the event.
     pub instance: Option<InstanceId>,
-    /// The event's name.
+    /// Name of the event's kind, as in [`EventKind::name`].
     pub kind: Option<String>,
 }
 
 impl Filter {
-    /// Whether `event` passes.
+    /// Returns whether `event` passes all fields of the filter.
     pub fn passes(&self, event: &Event) -> bool {
         let mv = self.mv.as_ref().is_none_or(|mv| event.kind.mv() == Some(mv));
         let instance = self.instance.as_ref().is_none_or(|instance| event.by == *instance);
@@ -67,28 +67,28 @@
     }
 }
 
-/// How far each process' events have been shown, to follow a time line without repeats.
+/// Position in a timeline that is followed: the events of each process that were shown already.
 #[derive(Debug, Clone, Default)]
 pub struct Cursor {
     shown: BTreeMap<Source, u64>,
 }
 
 impl Cursor {
-    /// Number of the last event of `source` that was shown; 0 for none.
+    /// Returns the sequence number of the last event of `source` that was shown; 0 if none was.
     pub fn after(&self, source: &Source) -> u64 {
         self.shown.get(source).copied().unwrap_or(0)
     }
 
-    /// The events that were not shown yet, in order; they count as shown from now on.
+    /// Returns the events that were not shown yet, in order, and marks them as shown.
     pub fn advance(&mut self, events: impl IntoIterator<Item = Event>) -> Vec<Event> {
-        let fresh: Vec<Event> = merge(events)
+        let unseen: Vec<Event> = merge(events)
             .into_iter()
             .filter(|event| event.seq > self.after(&Source::of(event)))
             .collect();
-        for event in &fresh {
+        for event in &unseen {
             let shown = self.shown.entry(Source::of(event)).or_default();
             *shown = (*shown).max(event.seq);
         }
-        fresh
+        unseen
     }
 }
--- a/crates/sycamore-timeline/src/ring.rs
+++ b/crates/sycamore-timeline/src/ring.rs
@@ -1,38 +1,38 @@
-//! The latest events of one process.
+//! Ring buffer of the latest events of one process, and the process's logical clock.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// Furthest that a message's stamp may be ahead of the own clock.
+/// Maximum time by which a received stamp may be ahead of this node's wall clock.
 pub const MAX_LEAD: Duration = Duration::from_secs(60);
 
-/// The process that records events.
+/// Process that records events.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Source {
-    /// Its instance.
+    /// Instance that the process runs as.
     pub instance: InstanceId,
-    /// Its generation.
+    /// Generation of the process.
     pub incarnation: Incarnation,
 }
 
 impl Source {
-    /// The process that recorded `event`.
+    /// Returns the process that recorded `event`.
     pub fn of(event: &Event) -> Self {
         Self { instance: event.by.clone(), incarnation: event.incarnation }
     }
 }
 
-/// Events after a sequence number.
+/// Events of a ring after a given sequence number.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Page {
-    /// The events, oldest first.
+    /// Events that the ring still has, oldest first.
     pub events: Vec<Event>,
-    /// Events that were asked for and are no longer kept.
+    /// Number of requested events that the ring no longer has.
     pub lost: u64,
 }
 
-/// Stamps events and keeps the latest.
+/// Stamps the events of one process and keeps the latest ones.
 #[derive(Debug, Clone)]
 pub struct Ring {
     source: Source,
@@ -43,7 +43,7 @@
 }
 
 impl Ring {
-    /// A ring of `source` that keeps `capacity` events, at least one.
+    /// Creates a ring for `source` that keeps the last `capacity` events, at least one.
     pub fn new(source: Source, capacity: usize) -> Self {
         Self {
             source,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Records what happened at civil time `now`.
+    /// Records an event that happened at wall time `now`, and returns it.
     pub fn record(&mut self, kind: EventKind, now: WallTime) -> &Event {
         self.stamp = self.stamp.tick(now);
         self.seq += 1;
@@ -67,21 +67,22 @@
         &self.events[self.events.len() - 1]
     }
 
-    /// The stamp that a message sent at civil time `now` carries.
+    /// Advances the logical clock and returns the stamp of a message sent at wall time `now`.
     pub fn stamp(&mut self, now: WallTime) -> Stamp {
         self.stamp = self.stamp.tick(now);
         self.stamp
     }
 
-    /// Takes note of a stamp that a message carried, so that what follows is ordered after it. One
-    /// further ahead than [`MAX_LEAD`] is left out: a broken clock must not drag the others along.
+    /// Advances the logical clock past the stamp of a received message, so that later events are
+    /// ordered after it. A stamp more than [`MAX_LEAD`] ahead is ignored, so that one wrong clock
+    /// does not advance those of all other nodes.
     pub fn observe(&mut self, stamp: Stamp, now: WallTime) {
         if stamp.wall.since(now) <= MAX_LEAD {
             self.stamp = self.stamp.merge(stamp, now);
         }
     }
 
-    /// Events with numbers above `after`.
+    /// Returns the events with sequence numbers above `after`.
     pub fn after(&self, after: u64) -> Page {
         let events: Vec<Event> =
             self.events.iter().filter(|event| event.seq > after).cloned().collect();
@@ -89,7 +90,7 @@
         Page { events, lost: self.seq.saturating_sub(after).saturating_sub(kept) }
     }
 
-    /// Number of the last event; 0 before the first.
+    /// Returns the sequence number of the last event; 0 before the first.
     pub fn last_seq(&self) -> u64 {
         self.seq
     }
--- a/crates/sycamore-timeline/tests/timeline.rs
+++ b/crates/sycamore-timeline/tests/timeline.rs
@@ -1,27 +1,29 @@
-//! The time line.
+//! Tests of recording, merging, following and batching events.
 
 use quickcheck::quickcheck;
 use std::time::Duration;
 use sycamore_timeline::{gaps, merge, BatchOptions, Batcher, Cursor, Filter, Ring, Source};
 use sycamore_types::prelude::*;
 
+/// Process of the instance `name`.
 fn source(name: &str) -> Source {
     Source { instance: InstanceId::new(name).expect("valid"), incarnation: Incarnation(1) }
 }
 
+/// Event about the move `mv`.
 fn step(mv: &str) -> EventKind {
     let mv = MoveId::new(mv).expect("valid");
     EventKind::MoveStep { mv, share: Share::from_basis_points(500) }
 }
 
-/// Events of `name`, one for each wall time.
+/// Events of the instance `name`, one per wall time in milliseconds.
 fn events(name: &str, walls: &[u64]) -> Vec<Event> {
     let mut ring = Ring::new(source(name), 1_000);
     walls.iter().map(|wall| ring.record(EventKind::Draining, WallTime(*wall)).clone()).collect()
 }
 
 #[test]
-fn a_full_ring_shows_what_it_lost() {
+fn a_page_counts_the_events_that_a_full_ring_dropped() {
     let mut ring = Ring::new(source("a"), 3);
     for wall in 0..5 {
         ring.record(EventKind::Started, WallTime(wall));
@@ -33,7 +35,7 @@
 }
 
 #[test]
-fn an_effect_is_ordered_after_its_cause_though_its_clock_is_behind() {
+fn an_event_is_ordered_after_its_cause_though_its_wall_clock_is_behind() {
     let mut cause = Ring::new(source("a"), 10);
     let mut effect = Ring::new(source("b"), 10);
     let first = cause.record(step("m"), WallTime(5_000)).clone();
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn missing_numbers_are_found() {
+fn gaps_before_and_between_events_are_found() {
     let mut kept = events("a", &[1, 2, 3, 4, 5]);
     kept.remove(2);
     kept.remove(0);
@@ -52,7 +54,7 @@
 }
 
 #[test]
-fn filters_pass_what_they_name() {
+fn a_filter_passes_only_events_of_its_move_or_kind() {
     let mut ring = Ring::new(source("a"), 10);
     let about = ring.record(step("m"), WallTime(1)).clone();
     let other = ring.record(EventKind::Started, WallTime(2)).clone();
@@ -63,7 +65,7 @@
 }
 
 #[test]
-fn following_shows_each_event_once() {
+fn a_cursor_returns_each_event_once() {
     let all = events("a", &[1, 2, 3]);
     let mut cursor = Cursor::default();
     assert_eq!(cursor.advance(all[..2].to_vec()).len(), 2);
@@ -76,12 +78,12 @@
 }
 
 #[test]
-fn a_batch_comes_again_until_it_is_stored() {
+fn a_batch_is_returned_again_until_it_is_stored() {
     let mut batcher = batcher(BatchOptions::default());
     events("a", &[1, 2]).iter().for_each(|event| batcher.push(event));
     let first = batcher.due(Time(0), 1).expect("due");
     assert_eq!(first.key, "events/a/1/000000000001");
-    assert!(batcher.due(Time::from_secs(1), 1).is_none(), "the budget is spent");
+    assert!(batcher.due(Time::from_secs(1), 1).is_none(), "before the interval has passed");
     batcher.push(&events("a", &[1, 2, 3])[2]);
     assert_eq!(batcher.due(Time::from_secs(2), 1), Some(first.clone()));
     batcher.stored(&first.key);
@@ -89,14 +91,14 @@
 }
 
 #[test]
-fn the_fleets_writes_stay_within_the_budget() {
+fn the_interval_grows_with_the_fleet_to_keep_the_write_budget() {
     let batcher = batcher(BatchOptions::default());
     assert_eq!(batcher.interval(1), Duration::from_secs(2));
     assert_eq!(batcher.interval(930), Duration::from_millis(46_500));
 }
 
 #[test]
-fn an_outage_loses_the_oldest_events_and_says_how_many() {
+fn a_batcher_drops_the_oldest_events_and_counts_them() {
     let mut batcher = batcher(BatchOptions { max_waiting: 3, ..BatchOptions::default() });
     events("a", &[1, 2, 3, 4, 5]).iter().for_each(|event| batcher.push(event));
     assert_eq!(batcher.lost(), 2);
@@ -104,7 +106,7 @@
 }
 
 quickcheck! {
-    fn merging_does_not_depend_on_order_or_repeats(a: Vec<u16>, b: Vec<u16>) -> bool {
+    fn merging_does_not_depend_on_order_or_duplicates(a: Vec<u16>, b: Vec<u16>) -> bool {
         let walls = |list: &[u16]| list.iter().map(|wall| u64::from(*wall)).collect::<Vec<_>>();
         let (a, b) = (events("a", &walls(&a)), events("b", &walls(&b)));
         let forward = merge(a.iter().chain(&b).cloned());
