--- a/crates/sycamore-moves/tests/mergers.rs
+++ b/crates/sycamore-moves/tests/mergers.rs
@@ -1,4 +1,4 @@
-//! Merging nodes that die and follow one another.
+//! Tests of nodes that begin to merge evidence in the middle of a move.
 
 mod support;
 
@@ -10,12 +10,12 @@
 use sycamore_moves::ramp::{Schedule, Step};
 use sycamore_types::prelude::*;
 
-/// A move with a step that is held for a minute, then the watch period, also for a minute.
+/// Row of a move with one step and the watch period, each held for a minute.
 fn row() -> MoveRow {
     let spec = spec("m");
-    let step = |share, after| Step {
+    let step = |share, start_s| Step {
         share: Share::from_basis_points(share),
-        at: spec.start + Duration::from_secs(after),
+        at: spec.start + Duration::from_secs(start_s),
         hold: Duration::from_secs(60),
         margin: Share::from_basis_points(1_000),
     };
@@ -43,19 +43,20 @@
     }
 }
 
-/// The node beside the only instance of the new version.
+/// Node of the only instance of the new version.
 struct Node {
     control: MoveControl,
     seq: u64,
 }
 
-/// A moment in seconds after the move's start; the monotonic clock runs from an origin of its own.
+/// Time `ms` milliseconds after the move's start; the monotonic clock has an origin of its own.
 fn at(ms: u64) -> Moment {
     let wall = row().spec.start + Duration::from_millis(ms);
     Moment { time: Time::from_millis(1_000_000 + ms), wall }
 }
 
 impl Node {
+    /// Starts the node's state machine, which sees one live instance of each version.
     fn start(ms: u64) -> Self {
         let options = ControlOptions::default();
         let mut control = MoveControl::new(id("new"), row(), 1, options, at(ms).time);
@@ -64,14 +65,16 @@
         Self { control, seq: 0 }
     }
 
-    fn hear(&mut self, ms: u64, new: (u64, u64), old: (u64, u64)) {
+    /// Delivers a report of each version with cumulative counts of ok and failed calls.
+    fn report_both(&mut self, ms: u64, new: (u64, u64), old: (u64, u64)) {
         for (instance, version, (ok, failed)) in [("new", "2", new), ("old", "1", old)] {
             self.report(ms, instance, version, (ok, failed));
         }
     }
 
     fn report(&mut self, ms: u64, instance: &str, version: &str, (ok, failed): (u64, u64)) {
-        // One number a moment, so that a restarted node hears processes that have long run.
+        // Numbers from 100 on, so that the first reports come from processes that have run for
+        // long.
         self.seq = 100 + ms;
         let report = report("m", instance, version, self.seq, ok, failed);
         self.control.step(at(ms), Input::Report(Box::new(report)));
@@ -81,7 +84,7 @@
         self.control.step(at(ms), Input::Tick)
     }
 
-    fn learn_cleared(&mut self, ms: u64, step: u16) {
+    fn receive_cleared(&mut self, ms: u64, step: u16) {
         let at = Stamp { wall: at(ms).wall, logical: 0 };
         let until = now() + Duration::from_secs(86_400);
         let fact = Fact::Cleared { by: id("m"), step, at, until };
@@ -99,46 +102,51 @@
     actions.iter().any(|action| matches!(action, Action::Raise(Fact::BadVersion { .. })))
 }
 
+/// A node that restarts 50 s into the first step must not hold the step for another minute.
 #[test]
-fn a_restarted_merger_goes_on_with_the_hold_of_the_first_step() {
+fn a_restarted_merger_continues_the_hold_of_the_first_step() {
     let mut node = Node::start(50_000);
     let cleared = (0..20_u64).find(|second| {
         let ms = 50_000 + second * 1_000;
-        node.hear(ms, (second * 20, 0), (second * 200, 0));
+        node.report_both(ms, (second * 20, 0), (second * 200, 0));
         clears(&node.tick(ms), 0)
     });
-    // The step is held until the 60th second, whoever merges; the proof is short.
+    // The step is held until the 60th second; ten seconds of calls suffice as evidence.
     assert_eq!(cleared, Some(10));
 }
 
+/// The step was opened at 65 s, when another merger cleared the step before it.
 #[test]
-fn a_restarted_merger_goes_on_with_the_hold_of_a_step_that_another_opened() {
+fn a_restarted_merger_continues_the_hold_of_a_step_that_another_opened() {
     let mut node = Node::start(110_000);
-    node.learn_cleared(65_000, 0);
+    node.receive_cleared(65_000, 0);
     let cleared = (0..30_u64).find(|second| {
         let ms = 110_000 + second * 1_000;
-        node.hear(ms, (second * 20, 0), (second * 200, 0));
+        node.report_both(ms, (second * 20, 0), (second * 200, 0));
         clears(&node.tick(ms), 1)
     });
     assert_eq!(cleared, Some(15));
 }
 
+/// The counts of the first reports are from an unknown time, so they are no evidence for the step.
 #[test]
-fn a_restarted_merger_proves_the_step_anew() {
+fn a_restarted_merger_does_not_clear_a_step_on_counts_from_before_its_start() {
     let mut node = Node::start(100_000);
-    node.learn_cleared(20_000, 0);
-    node.hear(100_000, (5_000, 0), (5_000, 0));
+    node.receive_cleared(20_000, 0);
+    node.report_both(100_000, (5_000, 0), (5_000, 0));
     assert!(!clears(&node.tick(100_000), 1));
 }
 
+/// Both versions fail while the node receives no reports. The new version's report arrives first
+/// afterwards; counted without the old version's, its failures would yield a verdict.
 #[test]
-fn a_node_that_merges_again_leaves_out_what_it_missed_of_an_overload() {
+fn a_merger_excludes_the_calls_of_a_gap_in_the_reports() {
     let mut node = Node::start(0);
     for second in 0..20_u64 {
-        node.hear(second * 1_000, (second * 50, 0), (second * 50, 0));
+        node.report_both(second * 1_000, (second * 50, 0), (second * 50, 0));
         assert!(!finds_bad(&node.tick(second * 1_000)));
     }
-    // Another node merges for 6.5 s, in which both versions fail; the new one's report comes first.
+    // For 6.5 s the node receives no reports, and both versions fail.
     node.report(25_500, "new", "2", (1_150, 100));
     assert!(!finds_bad(&node.tick(25_600)));
     node.report(25_700, "old", "1", (1_150, 100));
--- a/crates/sycamore-moves/tests/scenarios.rs
+++ b/crates/sycamore-moves/tests/scenarios.rs
@@ -1,39 +1,42 @@
-//! Scripted scenarios of a move: the machines of a few nodes, with traffic, membership, cuts and the
-//! platform's table faked and a clock of whole seconds. The files under `scenarios/` read like a
-//! story.
+//! Runs the scripts under `scenarios/`: moves on a few nodes with simulated traffic, membership,
+//! network partitions and platform table, on a clock of whole seconds.
 
 mod support;
 mod town;
 
 use datadriven::TestCase;
-use town::Town;
+use town::SimulatedService;
 
-fn run(town: &mut Town, case: &TestCase) -> String {
+/// Carries out one directive of a script and returns its output.
+fn run(service: &mut SimulatedService, case: &TestCase) -> String {
     match case.directive.as_str() {
-        "start" => *town = Town::new(&values(case, "new"), &values(case, "old")),
-        "wait" => return town.wait(number(case, "s")),
-        "fail" => town.failing = number(case, "percent"),
-        "platform" => town.platform_up = values(case, "is") == ["up"],
-        "cut" => town.cut(&word(case), values(case, "platform") == ["cut"]),
-        "heal" => town.heal(),
-        "pause" => town.pause(&word(case)),
-        "thaw" => town.thaw(&word(case)),
-        "abort" => town.abort(&word(case)),
-        "report" => return town.reports(),
-        other => panic!("unknown directive {other}"),
+        "start" => *service = SimulatedService::new(&values(case, "new"), &values(case, "old")),
+        "wait" => return service.wait(number(case, "s")),
+        "fail" => service.failing_percent = number(case, "percent"),
+        "platform" => service.platform_up = values(case, "is") == ["up"],
+        "partition" => service.partition(&argument(case), values(case, "platform") == ["down"]),
+        "end-partition" => service.end_partition(),
+        "pause" => service.pause(&argument(case)),
+        "resume" => service.resume(&argument(case)),
+        "abort" => service.abort(&argument(case)),
+        "report" => return service.reports(),
+        other => panic!("unknown directive {other:?}"),
     }
     "ok\n".to_owned()
 }
 
-fn word(case: &TestCase) -> String {
-    let word = case.args.iter().find(|(_, values)| values.is_empty());
-    word.expect("a word").0.clone()
+/// The directive's argument that has no value.
+fn argument(case: &TestCase) -> String {
+    let argument = case.args.iter().find(|(_, values)| values.is_empty());
+    argument.expect("an argument without value").0.clone()
 }
 
+/// Values of the argument `key`; empty if it is absent.
 fn values(case: &TestCase, key: &str) -> Vec<String> {
     case.args.get(key).cloned().unwrap_or_default()
 }
 
+/// Value of the argument `key` as a number.
 fn number(case: &TestCase, key: &str) -> u64 {
     values(case, key).first().expect("a number").parse().expect("a number")
 }
@@ -41,7 +44,7 @@
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios", |f| {
-        let mut town = Town::new(&[], &[]);
-        f.run(|case| run(&mut town, case));
+        let mut service = SimulatedService::new(&[], &[]);
+        f.run(|case| run(&mut service, case));
     });
 }
--- a/crates/sycamore-moves/tests/town/mod.rs
+++ b/crates/sycamore-moves/tests/town/mod.rs
@@ -1,4 +1,4 @@
-//! A few nodes of one service with fakes of what surrounds their machines.
+//! Simulation of one service's nodes, with fakes of traffic, membership and the platform's table.
 #![allow(dead_code)]
 
 use crate::support::{id, now, report, spec};
@@ -12,39 +12,44 @@
 use sycamore_moves::report::report as report_of;
 use sycamore_types::prelude::*;
 
-/// Calls that arrive at each node in a second.
-const CALLS: u64 = 60;
-/// Basis points of all traffic.
-const ALL: u64 = 10_000;
-/// Seconds between two looks of a node at the table.
+/// Calls that arrive at each node per second.
+const CALLS_PER_S: u64 = 60;
+/// All traffic, in basis points.
+const ALL_BASIS_POINTS: u64 = 10_000;
+/// Time between two reads of the table by a node, in seconds.
 const POLL_S: u64 = 5;
 
 struct Node {
     control: MoveControl,
     peer: Peer,
     paused: bool,
+    /// Whether the confirmation was logged already.
     confirmed: bool,
     seq: u64,
     ok: u64,
     failed: u64,
-    /// Basis points of calls to the new version, and failed percents, that were not whole calls yet.
-    rest: (u64, u64),
+    /// Remainders below one call: of calls to the new version in basis points, and of failed calls
+    /// in percent.
+    remainder: (u64, u64),
     facts: Vec<Fact>,
-    said: String,
+    /// Phase and share that were logged last.
+    last_logged: String,
 }
 
-/// Nodes, the platform's table and the time.
-pub struct Town {
+/// Nodes of one service, the platform's table and a clock of whole seconds.
+pub struct SimulatedService {
     nodes: BTreeMap<String, Node>,
+    /// Row of the move in the platform's table, and its revision.
     table: (MoveRow, u64),
     writes: u64,
     second: u64,
-    cut: Option<Region>,
-    /// The region that is cut off does not reach the platform either.
-    cut_from_platform: bool,
+    /// Region that is partitioned off from all others.
+    partitioned: Option<Region>,
+    /// Whether the partitioned region does not reach the platform either.
+    partitioned_from_platform: bool,
     /// Percentage of the new version's calls that fail.
-    pub failing: u64,
-    /// The platform answers.
+    pub failing_percent: u64,
+    /// Whether the platform answers.
     pub platform_up: bool,
 }
 
@@ -61,24 +66,25 @@
     }
 }
 
-impl Town {
-    /// Nodes beside the new and the old version, as `name` in region west or `name-region`.
+impl SimulatedService {
+    /// Creates the nodes of the new and the old version, each given as `name` in region west or as
+    /// `name-region`.
     pub fn new(new: &[String], old: &[String]) -> Self {
         let of = |version: &str, names: &[String]| -> Vec<(String, Node)> {
             names.iter().map(|text| node(text, version)).collect()
         };
-        let mut town = Self {
+        let mut service = Self {
             nodes: of("2", new).into_iter().chain(of("1", old)).collect(),
             table: (row(), 1),
             writes: 0,
             second: 0,
-            cut: None,
-            cut_from_platform: false,
-            failing: 0,
+            partitioned: None,
+            partitioned_from_platform: false,
+            failing_percent: 0,
             platform_up: true,
         };
-        town.tell_members();
-        town
+        service.update_membership();
+        service
     }
 
     fn at(&self) -> Moment {
@@ -92,56 +98,57 @@
 
     fn reaches(&self, one: &str, other: &str) -> bool {
         let (one, other) = (&self.nodes[one].peer, &self.nodes[other].peer);
-        let inside = |peer: &Peer| Some(&peer.region) == self.cut.as_ref();
+        let inside = |peer: &Peer| Some(&peer.region) == self.partitioned.as_ref();
         inside(one) == inside(other)
     }
 
     fn has_platform(&self, name: &str) -> bool {
-        let is_cut = Some(&self.nodes[name].peer.region) == self.cut.as_ref();
-        self.platform_up && !(is_cut && self.cut_from_platform)
+        let is_partitioned = Some(&self.nodes[name].peer.region) == self.partitioned.as_ref();
+        self.platform_up && !(is_partitioned && self.partitioned_from_platform)
     }
 
-    /// Whether `name` runs and `to` hears it.
+    /// Returns whether `name` runs and its messages reach `to`.
     fn is_heard(&self, name: &str, to: &str) -> bool {
         !self.nodes[name].paused && self.reaches(name, to)
     }
 
-    /// Cuts `region` off from all others, and from the platform if `from_platform`.
-    pub fn cut(&mut self, region: &str, from_platform: bool) {
-        self.cut = Some(id(region));
-        self.cut_from_platform = from_platform;
-        self.tell_members();
+    /// Partitions `region` off from all others, and from the platform if `from_platform`.
+    pub fn partition(&mut self, region: &str, from_platform: bool) {
+        self.partitioned = Some(id(region));
+        self.partitioned_from_platform = from_platform;
+        self.update_membership();
     }
 
-    /// Ends the cut.
-    pub fn heal(&mut self) {
-        self.cut = None;
-        self.tell_members();
+    /// Ends the partition.
+    pub fn end_partition(&mut self) {
+        self.partitioned = None;
+        self.update_membership();
     }
 
-    /// Freezes a node; others lose sight of it.
+    /// Pauses a node's process; the others see it leave.
     pub fn pause(&mut self, name: &str) {
         self.nodes.get_mut(name).expect("a node").paused = true;
-        self.tell_members();
+        self.update_membership();
     }
 
-    /// Lets a node go on, which refutes its death by a new generation.
-    pub fn thaw(&mut self, name: &str) {
+    /// Resumes a paused node, which refutes its death with a new generation.
+    pub fn resume(&mut self, name: &str) {
         let node = self.nodes.get_mut(name).expect("a node");
         node.paused = false;
         node.peer.incarnation.0 += 1;
-        self.tell_members();
+        self.update_membership();
     }
 
-    /// An operator aborts the move at a node.
+    /// Raises an operator's abort at a node.
     pub fn abort(&mut self, name: &str) {
         let MoveRow { spec, .. } = &self.table.0;
         let at = Stamp { wall: self.at().wall, logical: 0 };
         let (by, service, version) = (spec.mv.clone(), spec.service.clone(), spec.to.clone());
-        self.learn(name, &Fact::Aborted { by, service, version, at }, &mut String::new());
+        self.add_fact(name, &Fact::Aborted { by, service, version, at }, &mut String::new());
     }
 
-    fn tell_members(&mut self) {
+    /// Passes the members that each node can see to its state machine.
+    fn update_membership(&mut self) {
         for name in self.names() {
             let seen = self.nodes.iter().filter(|(other, _)| self.is_heard(other, &name));
             let live: Vec<Peer> = seen.map(|(_, node)| node.peer.clone()).collect();
@@ -150,66 +157,69 @@
         }
     }
 
-    /// Lets seconds pass; tells what happened.
+    /// Advances the clock and returns a log of the events.
     pub fn wait(&mut self, seconds: u64) -> String {
-        let mut told = String::new();
+        let mut log = String::new();
         for _ in 0..seconds {
             self.second += 1;
-            self.traffic();
-            self.spread(&mut told);
+            self.run_traffic();
+            self.exchange(&mut log);
             if self.second.is_multiple_of(POLL_S) {
-                self.poll(&mut told);
+                self.poll_table(&mut log);
             }
             for name in self.names() {
-                self.feed(&name, Input::Tick, &mut told);
+                self.feed(&name, Input::Tick, &mut log);
             }
-            self.tell_changes(&mut told);
+            self.log_changes(&mut log);
         }
-        match told.is_empty() {
+        match log.is_empty() {
             true => "nothing\n".to_owned(),
-            false => told,
+            false => log,
         }
     }
 
-    /// Calls arrive at each node, which splits them between the instances that it sees.
-    fn traffic(&mut self) {
+    /// Sends one second of calls to each node, which splits them between the instances that it
+    /// sees.
+    fn run_traffic(&mut self) {
         for name in self.names() {
-            let to_new = CALLS * self.share(&name);
+            let to_new = CALLS_PER_S * self.share(&name);
             let node = self.nodes.get_mut(&name).expect("a node");
-            let points = node.rest.0 + to_new;
-            node.rest.0 = points % ALL;
-            let new = points / ALL;
+            let points = node.remainder.0 + to_new;
+            node.remainder.0 = points % ALL_BASIS_POINTS;
+            let new = points / ALL_BASIS_POINTS;
             let paused = node.paused;
             if !paused {
                 self.serve(&name, "2", new);
-                self.serve(&name, "1", CALLS - new.min(CALLS));
+                self.serve(&name, "1", CALLS_PER_S - new.min(CALLS_PER_S));
             }
         }
     }
 
+    /// Share of the new version that `name` applies, in basis points.
     fn share(&self, name: &str) -> u64 {
         let share = self.nodes[name].control.split(self.at().wall).to;
         u64::from(share.basis_points())
     }
 
+    /// Distributes `calls` evenly to the instances of `version` that `caller` sees.
     fn serve(&mut self, caller: &str, version: &str, calls: u64) {
         let is_served = |name: &String| {
             self.nodes[name].peer.version == id(version) && self.is_heard(name, caller)
         };
         let serving: Vec<String> = self.names().into_iter().filter(is_served).collect();
-        let percent = if version == "2" { self.failing } else { 0 };
+        let percent = if version == "2" { self.failing_percent } else { 0 };
         for (name, _) in serving.iter().cycle().zip(0..calls) {
             let node = self.nodes.get_mut(name).expect("a node");
-            node.rest.1 += percent;
-            let failed = node.rest.1 / 100;
-            node.rest.1 %= 100;
+            node.remainder.1 += percent;
+            let failed = node.remainder.1 / 100;
+            node.remainder.1 %= 100;
             node.failed += failed;
             node.ok += 1 - failed;
         }
     }
 
-    /// Reports, facts and the agreed row reach every node that can hear their holder.
-    fn spread(&mut self, told: &mut String) {
+    /// Passes each node's report, facts and row to every node that its messages reach.
+    fn exchange(&mut self, log: &mut String) {
         let names = self.names();
         for name in &names {
             let node = self.nodes.get_mut(name).expect("a node");
@@ -220,35 +230,37 @@
                 continue;
             }
             let report = Box::new(self.nodes[from].report());
-            self.feed(to, Input::Report(report), told);
+            self.feed(to, Input::Report(report), log);
             for fact in self.nodes[from].facts.clone() {
-                self.learn(to, &fact, told);
+                self.add_fact(to, &fact, log);
             }
             let (row, revision) = self.nodes[from].control.row();
             let row = Box::new(row.clone());
-            self.feed(to, Input::Row { row, revision }, told);
+            self.feed(to, Input::Row { row, revision }, log);
         }
     }
 
-    /// Every node that can reads the agreed row.
-    fn poll(&mut self, told: &mut String) {
+    /// Lets every node that reaches the platform read the move's row.
+    fn poll_table(&mut self, log: &mut String) {
         for name in self.names() {
             if self.has_platform(&name) {
                 let (row, revision) = (Box::new(self.table.0.clone()), self.table.1);
-                self.feed(&name, Input::Row { row, revision }, told);
+                self.feed(&name, Input::Row { row, revision }, log);
             }
         }
     }
 
-    fn learn(&mut self, name: &str, fact: &Fact, told: &mut String) {
+    /// Stores a fact at a node, unless it is known there, and passes it to the state machine.
+    fn add_fact(&mut self, name: &str, fact: &Fact, log: &mut String) {
         let node = self.nodes.get_mut(name).expect("a node");
         if !node.facts.contains(fact) {
             node.facts.push(fact.clone());
-            self.feed(name, Input::Fact(fact.clone()), told);
+            self.feed(name, Input::Fact(fact.clone()), log);
         }
     }
 
-    fn feed(&mut self, name: &str, input: Input, told: &mut String) {
+    /// Passes an input to a node's state machine and carries out its actions.
+    fn feed(&mut self, name: &str, input: Input, log: &mut String) {
         let at = self.at();
         let has_platform = self.has_platform(name);
         let node = self.nodes.get_mut(name).expect("a node");
@@ -258,23 +270,23 @@
         for action in node.control.step(at, input) {
             match action {
                 Action::Raise(fact) => {
-                    self.say(told, name, &raised(&fact));
-                    self.learn(name, &fact, told);
+                    self.log_event(log, name, &raised(&fact));
+                    self.add_fact(name, &fact, log);
                 }
                 Action::ReadRegistry if has_platform => {
                     let listed = self.nodes.values().map(|node| node.peer.clone()).collect();
-                    self.feed(name, Input::Registry(listed), told);
+                    self.feed(name, Input::Registry(listed), log);
                 }
                 Action::End { outcome, revision } if has_platform => {
-                    self.write(name, outcome, revision, told);
+                    self.write(name, outcome, revision, log);
                 }
                 Action::ReadRegistry | Action::End { .. } => {}
             }
         }
     }
 
-    /// The platform takes one outcome by compare-and-set and answers with the row that holds.
-    fn write(&mut self, name: &str, outcome: Outcome, revision: u64, told: &mut String) {
+    /// Writes an outcome to the table by compare-and-set and passes the row in force to the writer.
+    fn write(&mut self, name: &str, outcome: Outcome, revision: u64, log: &mut String) {
         self.writes += 1;
         let change = Change {
             author: Author::Node(id(name)),
@@ -287,26 +299,26 @@
                 format!("records {:?} ({}), decided at {decided} s", outcome.kind, outcome.reason);
             if let Ok(write) = end(&self.table.0, revision, outcome, change) {
                 self.table = (write.row, revision + 1);
-                self.say(told, name, &text);
+                self.log_event(log, name, &text);
             }
         }
         let (row, revision) = (Box::new(self.table.0.clone()), self.table.1);
-        self.feed(name, Input::Row { row, revision }, told);
+        self.feed(name, Input::Row { row, revision }, log);
     }
 
-    fn say(&self, told: &mut String, name: &str, what: &str) {
-        writeln!(told, "{:>3} s  {name} {what}", self.second).expect("writes to a string");
+    fn log_event(&self, log: &mut String, name: &str, what: &str) {
+        writeln!(log, "{:>3} s  {name} {what}", self.second).expect("writes to a string");
     }
 
-    /// Tells whose share or signature changed.
-    fn tell_changes(&mut self, told: &mut String) {
+    /// Logs the nodes whose phase, share or confirmation changed.
+    fn log_changes(&mut self, log: &mut String) {
         let at = self.at();
         let mut changed: BTreeMap<String, Vec<&str>> = BTreeMap::new();
         for (name, node) in self.nodes.iter_mut().filter(|(_, node)| !node.paused) {
             let phase = node.control.phase(at.wall);
             let text = format!("{phase:?}, {} to the new version", node.control.split(at.wall).to);
-            if node.said != text {
-                node.said.clone_from(&text);
+            if node.last_logged != text {
+                node.last_logged.clone_from(&text);
                 changed.entry(text).or_default().push(name);
             }
             if node.control.confirmed() && !node.confirmed {
@@ -315,18 +327,18 @@
             }
         }
         for (text, names) in changed {
-            writeln!(told, "{:>3} s  {}: {text}", self.second, names.join(" "))
+            writeln!(log, "{:>3} s  {}: {text}", self.second, names.join(" "))
                 .expect("writes to a string");
         }
     }
 
-    /// What each node that runs reports to operators.
+    /// Returns the report of each running node to operators.
     pub fn reports(&self) -> String {
         let running = self.nodes.iter().filter(|(_, node)| !node.paused);
         let mut text = String::new();
         for (name, node) in running {
-            let told = report_of(&node.control, self.at().wall);
-            writeln!(text, "{name}: {:?}, {}: {}", told.state, told.share, told.reason)
+            let report = report_of(&node.control, self.at().wall);
+            writeln!(text, "{name}: {:?}, {}: {}", report.state, report.share, report.reason)
                 .expect("writes to a string");
         }
         text
@@ -341,6 +353,7 @@
     }
 }
 
+/// Creates a node from `name` or `name-region`.
 fn node(text: &str, version: &str) -> (String, Node) {
     let (name, region) = text.split_once('-').unwrap_or((text, "west"));
     let peer = Peer {
@@ -359,13 +372,14 @@
         seq: 0,
         ok: 0,
         failed: 0,
-        rest: (0, 0),
+        remainder: (0, 0),
         facts: Vec::new(),
-        said: String::new(),
+        last_logged: String::new(),
     };
     (name.to_owned(), node)
 }
 
+/// Log text of a raised fact.
 fn raised(fact: &Fact) -> String {
     match fact {
         Fact::Cleared { step, .. } => format!("clears step {step}"),
