--- a/crates/sycamore-moves/src/sheet/mod.rs
+++ b/crates/sycamore-moves/src/sheet/mod.rs
@@ -16,7 +16,7 @@
 pub const MAX_SHEET_BYTES: usize = 1 << 20;
 /// Maximum number of moves in one sheet.
 pub const MAX_MOVES: usize = 500;
-/// Maximum number of faults reported for one sheet.
+/// Maximum number of faults reported for one sheet; a longer list would not help the planner.
 pub const MAX_FAULTS: usize = 200;
 
 const BYTE_ORDER_MARK: &str = "\u{feff}";
