--- a/crates/sycamore-node/src/moves/evidence.rs
+++ b/crates/sycamore-node/src/moves/evidence.rs
@@ -45,7 +45,7 @@
         if was_serving && now.is_none() {
             for entry in state.moves.borrow_mut().values_mut() {
                 if let Some(collector) = &mut entry.collector {
-                    collector.crash();
+                    collector.record_crash();
                 }
             }
         }
@@ -99,12 +99,12 @@
 /// Report of a move to send now: the new one, or the unchanged one as a heartbeat.
 fn due_report(state: &State, entry: &mut Entry) -> Option<Report> {
     let now = state.now().time;
-    let signed = entry.control.signed();
+    let confirmed = entry.control.confirmed();
     let silent = now.since(entry.sent) >= HEARTBEAT_INTERVAL;
     let generation = state.me()?.incarnation;
     let collector = collector(state, entry)?;
-    collector.known_as(generation);
-    collector.report(now, signed).or_else(|| silent.then(|| collector.repeat()))
+    collector.update_generation(generation);
+    collector.report(now, confirmed).or_else(|| silent.then(|| collector.repeat()))
 }
 
 fn send_to(state: &Rc<State>, mv: &MoveId, merger: InstanceId, report: &Report) {
