--- a/crates/sycamore-platform/src/settle/machine.rs
+++ b/crates/sycamore-platform/src/settle/machine.rs
@@ -1,4 +1,4 @@
-//! Decides the next request of a proposal from the answer to the last one.
+//! State machine that decides the next request of a compare-and-set proposal from the last answer.
 
 use super::{Settled, Stamped};
 use crate::backoff::{Backoff, BackoffSettings};
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// Bounds of a proposal.
+/// Retry limits of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettleSettings {
-    /// Failed requests after which the proposal is given up.
+    /// Number of failed requests after which the proposal ends as [`Settled::Unknown`].
     pub failures: u32,
-    /// Delays between requests.
+    /// Backoff between requests, applied after each failed one.
     pub backoff: BackoffSettings,
 }
 
@@ -22,48 +22,54 @@
     }
 }
 
-/// The answer to the last request.
+/// Answer to the last request of a proposal.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// The write committed and gave the row this revision.
+    /// The compare-and-set committed; the row has this new revision.
     Committed(Revision),
-    /// Conditions of the write did not hold.
+    /// The compare-and-set had no effect, because these conditions did not hold.
     Conflicted(Vec<Conflict>),
-    /// The row as read.
+    /// The current row, `None` if it is absent.
     Read(Option<Row>),
     /// The request failed.
     Failed {
-        /// Whether it may have had its effect.
+        /// Whether the failed request may have taken effect.
         may_have_run: bool,
     },
 }
 
-/// What to do next.
+/// Next action of the caller that runs a proposal.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Send the compare-and-set, after a delay.
+    /// Send the compare-and-set after this delay.
     Write(Duration),
-    /// Read the row, after a delay.
+    /// Read the row after this delay.
     Read(Duration),
-    /// The proposal is settled.
+    /// Send nothing more: the proposal has ended with this result.
     Done(Settled),
 }
 
-/// One proposal on its way.
+/// State of one proposal between its requests.
 #[derive(Debug, Clone)]
 pub struct Settle {
     key: String,
     op: OpId,
+    /// Revision of the row that the proposal changes, [`Revision::ABSENT`] if there was none.
     base: Revision,
+    /// Last operation stamped on that row; `None` if the row is absent or not stamped.
     base_op: Option<OpId>,
-    /// Whether a write may have taken effect unseen.
+    /// Whether a write may have taken effect without an answer.
     uncertain: bool,
+    /// Number of failed requests after which the proposal ends.
     failures: u32,
     backoff: Backoff,
 }
 
 impl Settle {
-    /// A proposal that has not been sent; its first step is to write. `seed` decides its delays.
+    /// Creates the state of a proposal that has not been sent; the caller writes first.
+    ///
+    /// `base` is the row that the proposal changes, `None` if it is absent. `seed` determines the
+    /// backoff delays.
     pub fn new(
         key: &str,
         op: OpId,
@@ -75,32 +81,33 @@
             key: key.to_owned(),
             op,
             base: base.map_or(Revision::ABSENT, |row| row.revision),
-            base_op: base.and_then(|row| stamp(&row.value)).map(|stamp| stamp.op),
+            base_op: base.and_then(|row| parse_stamped(&row.value)).map(|stamped| stamped.op),
             uncertain: false,
             failures: settings.failures,
             backoff: Backoff::new(settings.backoff.clone(), seed),
         }
     }
 
-    /// Whether a write may have taken effect that no answer told of.
+    /// Returns whether a write may have taken effect without an answer.
     pub fn is_uncertain(&self) -> bool {
         self.uncertain
     }
 
-    /// Takes the answer to the last request and decides the next one.
+    /// Records the answer to the last request and returns the next action.
     pub fn step(&mut self, answer: Answer) -> Step {
         match answer {
             Answer::Committed(revision) => Step::Done(Settled::Won { revision }),
-            Answer::Conflicted(conflicts) => self.conflicted(conflicts),
-            Answer::Read(row) => self.read(row),
-            Answer::Failed { may_have_run } => self.failed(may_have_run),
+            Answer::Conflicted(conflicts) => self.on_conflict(conflicts),
+            Answer::Read(row) => self.on_read(row),
+            Answer::Failed { may_have_run } => self.on_failure(may_have_run),
         }
     }
 
-    fn conflicted(&mut self, conflicts: Vec<Conflict>) -> Step {
+    fn on_conflict(&mut self, conflicts: Vec<Conflict>) -> Step {
         match conflicts.iter().position(|conflict| conflict.key == self.key) {
-            Some(own) => Step::Done(self.judge(conflicts[own].clone())),
-            // The answer may leave out the own row, which alone can tell of an earlier attempt.
+            Some(own) => Step::Done(self.resolve(conflicts[own].clone())),
+            // The answer may omit the proposal's own row, and only that row shows whether an
+            // earlier attempt took effect.
             None if self.uncertain => Step::Read(Duration::ZERO),
             None => match conflicts.into_iter().next() {
                 Some(winner) => Step::Done(Settled::Lost { winner }),
@@ -109,7 +116,7 @@
         }
     }
 
-    fn read(&mut self, row: Option<Row>) -> Step {
+    fn on_read(&mut self, row: Option<Row>) -> Step {
         let current = match row {
             Some(row) => Conflict { key: row.key, revision: row.revision, value: Some(row.value) },
             None => Conflict { key: self.key.clone(), revision: Revision::ABSENT, value: None },
@@ -117,10 +124,10 @@
         if current.revision == self.base {
             return Step::Write(Duration::ZERO);
         }
-        Step::Done(self.judge(current))
+        Step::Done(self.resolve(current))
     }
 
-    fn failed(&mut self, may_have_run: bool) -> Step {
+    fn on_failure(&mut self, may_have_run: bool) -> Step {
         self.uncertain |= may_have_run;
         if self.backoff.failures() + 1 >= self.failures {
             return Step::Done(Settled::Unknown { may_have_run: self.uncertain });
@@ -133,28 +140,29 @@
         }
     }
 
-    /// Settles by a row that is no longer the one that the proposal started from.
-    fn judge(&self, current: Conflict) -> Settled {
-        let stamp = current.value.as_ref().and_then(stamp);
-        let won = stamp.as_ref().is_some_and(|stamp| stamp.age(self.op).is_some());
+    /// Determines the proposal's result from its row, which has changed since the base revision.
+    fn resolve(&self, current: Conflict) -> Settled {
+        let stamped = current.value.as_ref().and_then(parse_stamped);
+        let won = stamped.as_ref().is_some_and(|stamped| stamped.age(self.op).is_some());
         if won {
             return Settled::Won { revision: current.revision };
         }
-        if !self.uncertain || stamp.is_some_and(|stamp| self.reaches_base(&stamp)) {
+        if !self.uncertain || stamped.is_some_and(|stamped| self.has_ops_since_base(&stamped)) {
             return Settled::Lost { winner: current };
         }
         Settled::Unknown { may_have_run: true }
     }
 
-    /// Whether `stamp` remembers every operation since the row that the proposal started from.
-    fn reaches_base(&self, stamp: &Stamped<Value>) -> bool {
+    /// Returns whether `stamped` lists every operation since the proposal's base revision.
+    fn has_ops_since_base(&self, stamped: &Stamped<Value>) -> bool {
         match self.base_op {
-            Some(op) => stamp.age(op).is_some(),
-            None => self.base == Revision::ABSENT && stamp.is_complete(),
+            Some(op) => stamped.age(op).is_some(),
+            None => self.base == Revision::ABSENT && stamped.is_complete(),
         }
     }
 }
 
-fn stamp(value: &Value) -> Option<Stamped<Value>> {
+/// Parses a row's value; `None` if it does not name the operation that wrote it.
+fn parse_stamped(value: &Value) -> Option<Stamped<Value>> {
     serde_json::from_value(value.clone()).ok()
 }
--- a/crates/sycamore-platform/src/settle/mod.rs
+++ b/crates/sycamore-platform/src/settle/mod.rs
@@ -1,10 +1,10 @@
-//! Compare-and-set of one row that settles lost answers by reading back.
+//! Compare-and-set of one row that reads the row back when the answer to a write is lost.
 //!
-//! Every row changed this way carries the identifiers of the last operations that changed it. A
-//! proposer whose answer was lost reads the row: its own identifier there says that it won; a
-//! history that reaches back to the row it started from without its identifier says that it lost;
-//! an unchanged row says that the same compare-and-set may be sent again, since at most one of the
-//! two can take effect. Rows changed this way are never deleted.
+//! Every row changed this way stores the identifiers of the last operations that changed it. A
+//! proposer whose answer was lost reads the row. If the row lists the proposer's operation, the
+//! write took effect. If it lists every operation since the base revision and not the proposer's,
+//! the write had no effect. If the row is unchanged, the same compare-and-set is sent again: at most
+//! one of the two can take effect. Rows changed this way are never deleted.
 
 mod machine;
 mod run;
@@ -18,39 +18,41 @@
 use serde_json::Value;
 use sycamore_types::prelude::*;
 
-/// A change of one row, and of others with it.
+/// Compare-and-set of one row, with optional conditions on and writes of other rows.
 #[derive(Debug, Clone)]
 pub struct Proposal<'a> {
-    /// Key of the row that carries the operation's identifier.
+    /// Key of the row that stores the operation's identifier.
     pub key: &'a str,
-    /// The row that the change starts from; `None` where it was absent.
+    /// Row that the proposal changes, as last read; `None` if it was absent.
     pub base: Option<&'a Row>,
-    /// Identifies the operation, the same through all of its attempts.
+    /// Identifier of the operation, the same in all attempts.
     pub op: OpId,
-    /// The row's new fields, a JSON object.
+    /// New fields of the row; must be a JSON object.
     pub body: Value,
-    /// Conditions on other rows.
+    /// Conditions on other rows, checked in the same transaction.
     pub conditions: Vec<Condition>,
-    /// Writes of other rows.
+    /// Writes of other rows in the same transaction.
     pub writes: Vec<Write>,
 }
 
-/// What became of a proposal.
+/// Result of a proposal.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Settled {
-    /// It took effect.
+    /// The proposal took effect.
     Won {
-        /// The row's revision when it was last seen; later ones may have followed.
+        /// Revision of the row when it was last read or written. If a later operation overwrote the
+        /// proposal before the read, the revision is that operation's.
         revision: Revision,
     },
-    /// It had no effect, and never will.
+    /// The proposal had no effect and cannot take effect later.
     Lost {
-        /// The row that stands in its place, or the condition on another row that did not hold.
+        /// Current state of the proposal's row, or of the other row whose condition did not hold.
         winner: Conflict,
     },
-    /// The platform stayed out for too long.
+    /// The result could not be determined: too many requests failed, or the row no longer lists
+    /// every operation since the base revision.
     Unknown {
-        /// Whether the change may have taken, or may yet take, effect.
+        /// Whether the proposal may have taken effect or may still do so.
         may_have_run: bool,
     },
 }
--- a/crates/sycamore-platform/src/settle/run.rs
+++ b/crates/sycamore-platform/src/settle/run.rs
@@ -1,4 +1,4 @@
-//! Runs a proposal against the platform's table.
+//! Sends the requests of a proposal to the platform's table.
 
 use super::{Answer, Proposal, Settle, SettleSettings, Settled, Stamped, Step};
 use crate::error::Error;
@@ -7,8 +7,10 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// Runs `proposal` until it is settled or the platform was out for as long as `settings` allow.
-/// `seed` decides the delays between its requests.
+/// Sends `proposal` and resolves lost answers by reading its row back.
+///
+/// Returns when the result is known, or after the number of failed requests in `settings`. `seed`
+/// determines the backoff delays. Cancelling the future leaves the result unknown.
 pub async fn propose(
     table: &impl Table,
     proposal: Proposal<'_>,
@@ -17,17 +19,17 @@
 ) -> Settled {
     let mut settle = Settle::new(proposal.key, proposal.op, proposal.base, settings, seed);
     let key = proposal.key.to_owned();
-    let transaction = transaction(proposal);
+    let transaction = build_transaction(proposal);
     let mut step = Step::Write(Duration::ZERO);
     loop {
         let answer = match step {
             Step::Write(delay) => {
-                pause(delay).await;
-                write(table, &key, &transaction).await
+                sleep_if_nonzero(delay).await;
+                send_write(table, &key, &transaction).await
             }
             Step::Read(delay) => {
-                pause(delay).await;
-                read(table, &key).await
+                sleep_if_nonzero(delay).await;
+                read_row(table, &key).await
             }
             Step::Done(settled) => return settled,
         };
@@ -35,7 +37,7 @@
     }
 }
 
-fn transaction(proposal: Proposal<'_>) -> Transaction {
+fn build_transaction(proposal: Proposal<'_>) -> Transaction {
     let base = proposal.base.and_then(|row| serde_json::from_value(row.value.clone()).ok());
     let stamped = Stamped::after::<Value>(base.as_ref(), proposal.op, proposal.body);
     let value = serde_json::to_value(stamped).expect("JSON objects serialise");
@@ -47,28 +49,28 @@
     Transaction { conditions, writes }
 }
 
-async fn write(table: &impl Table, key: &str, transaction: &Transaction) -> Answer {
+async fn send_write(table: &impl Table, key: &str, transaction: &Transaction) -> Answer {
     match table.transact(transaction).await {
         Ok(Transacted::Committed { revisions }) => {
             Answer::Committed(revisions.get(key).copied().unwrap_or_default())
         }
         Ok(Transacted::Conflicted { conflicts }) => Answer::Conflicted(conflicts),
-        Err(report) => failed(&report),
+        Err(report) => write_failure(&report),
     }
 }
 
-async fn read(table: &impl Table, key: &str) -> Answer {
+async fn read_row(table: &impl Table, key: &str) -> Answer {
     match table.get(key).await {
         Ok(row) => Answer::Read(row),
         Err(_) => Answer::Failed { may_have_run: false },
     }
 }
 
-fn failed(report: &Report<Error>) -> Answer {
+fn write_failure(report: &Report<Error>) -> Answer {
     Answer::Failed { may_have_run: report.current_context().may_have_run() }
 }
 
-async fn pause(delay: Duration) {
+async fn sleep_if_nonzero(delay: Duration) {
     if !delay.is_zero() {
         monoio::time::sleep(delay).await;
     }
--- a/crates/sycamore-platform/tests/settle.rs
+++ b/crates/sycamore-platform/tests/settle.rs
@@ -1,4 +1,7 @@
-//! Proposals settle by reading back: never a guess, never two winners.
+//! Tests of compare-and-set proposals whose requests or answers are lost.
+//!
+//! Guards against a proposal that reports a result it cannot know, and against two proposals from
+//! one base revision that both report success.
 
 use serde_json::json;
 use std::time::Duration;
@@ -23,87 +26,99 @@
     SettleSettings { failures: 4, backoff: BackoffSettings { base, cap: base } }
 }
 
-async fn offer(platform: &FakePlatform, base: Option<&Row>, op: u128) -> Settled {
+async fn propose_on(platform: &FakePlatform, base: Option<&Row>, op: u128) -> Settled {
     let body = json!({ "by": op.to_string() });
     let proposal =
         Proposal { key: KEY, base, op: OpId(op), body, conditions: vec![], writes: vec![] };
     propose(platform, proposal, &settings(), 7).await
 }
 
-fn answer(row: &Row) -> Answer {
+fn read_answer(row: &Row) -> Answer {
     Answer::Read(Some(row.clone()))
 }
 
+// Guards against a second proposal from the same base revision overwriting the first, or ending
+// without the row that won.
 #[test]
-fn of_two_racing_operators_one_wins_and_the_other_learns_who() {
+fn second_proposal_from_same_base_loses_and_gets_the_winning_row() {
     run(async {
         let platform = FakePlatform::default();
-        assert_eq!(offer(&platform, None, 1).await, Settled::Won { revision: Revision(1) });
-        match offer(&platform, None, 2).await {
+        assert_eq!(propose_on(&platform, None, 1).await, Settled::Won { revision: Revision(1) });
+        match propose_on(&platform, None, 2).await {
             Settled::Lost { winner } => assert_eq!(winner.value.unwrap()["by"], "1"),
             other => panic!("{other:?}"),
         }
     });
 }
 
+// Guards against a second write, or a wrong result, after a write took effect and its answer was
+// lost.
 #[test]
-fn a_lost_answer_is_settled_by_reading_back() {
+fn lost_answer_is_resolved_by_reading_back_without_a_second_write() {
     run(async {
         let platform = FakePlatform::default();
         platform.set_faults(Faults { lost_answers: 1, ..Faults::default() });
-        assert_eq!(offer(&platform, None, 1).await, Settled::Won { revision: Revision(1) });
+        assert_eq!(propose_on(&platform, None, 1).await, Settled::Won { revision: Revision(1) });
         assert_eq!(platform.stats().writes, 1);
     });
 }
 
+// Guards against giving up, or reporting a loss, when writes are lost before they take effect: the
+// unchanged row allows the same write again.
 #[test]
-fn a_lost_request_is_sent_again() {
+fn lost_request_is_sent_again() {
     run(async {
         let platform = FakePlatform::default();
         platform.set_faults(Faults { lost_requests: 2, ..Faults::default() });
-        assert_eq!(offer(&platform, None, 1).await, Settled::Won { revision: Revision(1) });
+        assert_eq!(propose_on(&platform, None, 1).await, Settled::Won { revision: Revision(1) });
         assert_eq!(platform.stats().writes, 3);
     });
 }
 
+// Guards against `may_have_run` after an outage in which the platform refused every request.
 #[test]
-fn only_an_outage_leaves_it_unknown() {
+fn outage_ends_as_unknown_without_effect() {
     run(async {
         let platform = FakePlatform::default();
         platform.set_faults(Faults { outage: true, ..Faults::default() });
-        let settled = offer(&platform, None, 1).await;
+        let settled = propose_on(&platform, None, 1).await;
         assert_eq!(settled, Settled::Unknown { may_have_run: false });
     });
 }
 
+// Guards against reporting a loss when the answer to a successful write is lost and another
+// operation overwrites the row before the proposer reads it back.
 #[test]
-fn a_winner_that_was_overwritten_still_learns_that_it_won() {
+fn overwritten_winner_reads_back_that_it_won() {
     run(async {
         let platform = FakePlatform::default();
-        assert!(matches!(offer(&platform, None, 1).await, Settled::Won { .. }));
+        assert!(matches!(propose_on(&platform, None, 1).await, Settled::Won { .. }));
         let first = platform.get(KEY).await.unwrap().unwrap();
-        assert!(matches!(offer(&platform, Some(&first), 2).await, Settled::Won { .. }));
+        assert!(matches!(propose_on(&platform, Some(&first), 2).await, Settled::Won { .. }));
         let second = platform.get(KEY).await.unwrap().unwrap();
         let mut settle = Settle::new(KEY, OpId(1), None, &settings(), 1);
         assert!(matches!(settle.step(Answer::Failed { may_have_run: true }), Step::Read(_)));
-        let step = settle.step(answer(&second));
+        let step = settle.step(read_answer(&second));
         assert_eq!(step, Step::Done(Settled::Won { revision: Revision(2) }));
     });
 }
 
+// Guards against reporting a loss after a lost answer when more than `RECENT_OPS` operations
+// followed, so that the row's history no longer reaches the base revision. A proposal with no write
+// of unknown effect has lost all the same.
 #[test]
-fn a_history_that_does_not_reach_back_is_no_proof_of_losing() {
+fn history_that_misses_the_base_leaves_a_lost_answer_unknown() {
     run(async {
         let platform = FakePlatform::default();
         let mut row: Option<Row> = None;
         for op in 10..(12 + RECENT_OPS as u128) {
-            assert!(matches!(offer(&platform, row.as_ref(), op).await, Settled::Won { .. }));
+            assert!(matches!(propose_on(&platform, row.as_ref(), op).await, Settled::Won { .. }));
             row = platform.get(KEY).await.unwrap();
         }
         let row = row.unwrap();
         let mut uncertain = Settle::new(KEY, OpId(1), None, &settings(), 1);
         uncertain.step(Answer::Failed { may_have_run: true });
-        let step = uncertain.step(answer(&row));
+        let step = uncertain.step(read_answer(&row));
         assert_eq!(step, Step::Done(Settled::Unknown { may_have_run: true }));
         let mut certain = Settle::new(KEY, OpId(1), None, &settings(), 1);
         let conflict =
@@ -113,8 +128,10 @@
     });
 }
 
+// Guards against a proposal that succeeds, or names the wrong row, when a condition on another row
+// does not hold.
 #[test]
-fn a_condition_on_another_row_loses_the_proposal() {
+fn failed_condition_on_another_row_loses_the_proposal() {
     run(async {
         let platform = FakePlatform::default();
         let other = Condition { key: "plan/p".to_owned(), revision: Revision(3) };
