--- a/crates/sycamore-platform/src/http/connection.rs
+++ b/crates/sycamore-platform/src/http/connection.rs
@@ -1,6 +1,6 @@
-//! One connection, driven only while a request is on it.
+//! HTTP/1.1 client connection that is polled only while it carries a request.
 
-use super::count::{Counted, Traffic};
+use super::count::{CountingStream, Traffic};
 use crate::error::{Error, Result};
 use bytes::{Bytes, BytesMut};
 use error_stack::Report;
@@ -20,64 +20,73 @@
 use std::time::Duration;
 use sycamore_http::conn::Silence;
 
-/// Bytes that a connection buffers at most, which bounds the headers of an answer.
-const BUFFER_BYTES: usize = 16 << 10;
+/// Read buffer limit of a connection in bytes, which also limits the headers of an answer.
+const MAX_BUFFER_BYTES: usize = 16 << 10;
 
-/// How fast an answer must come.
+/// Time limits on the parts of an answer.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Pace {
-    /// Longest time to its head.
-    pub(super) first: Duration,
-    /// Longest time from one part of its body to the next.
-    pub(super) next: Duration,
+pub(super) struct AnswerTimeouts {
+    /// Longest wait for the answer's head, from sending the request.
+    pub(super) head: Duration,
+    /// Longest wait for each frame of the answer's body, from the frame before it.
+    pub(super) frame: Duration,
 }
 
-/// An open connection with no exchange under way.
+/// Open connection that carries no request.
 pub(super) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: Pin<Box<dyn Future<Output = hyper::Result<()>>>>,
 }
 
 impl Connection {
-    /// Connects; any failure means that nothing was sent.
+    /// Connects to `address` and counts the connection's bytes in `traffic`.
+    ///
+    /// # Errors
+    /// [`Error::Unreachable`] on any failure; no request was sent.
     pub(super) async fn open(address: SocketAddr, traffic: Rc<Traffic>) -> Result<Self> {
         let unreachable = |e: std::io::Error| Report::new(e).change_context(Error::Unreachable);
         let stream = TcpStream::connect(address).await.map_err(unreachable)?;
         stream.set_nodelay(true).map_err(unreachable)?;
-        // A watch waits for many seconds, and a change must not wait for a silent connection.
+        // A watch request waits many seconds for its answer. Keepalive detects a dead peer
+        // meanwhile, which would otherwise delay a change until the request times out.
         Silence::default().watch(&stream).map_err(unreachable)?;
         let inner = MonoioIo::new(stream.into_poll_io().map_err(unreachable)?);
         let (sender, driver) = Builder::new()
-            .max_buf_size(BUFFER_BYTES)
-            .handshake(Counted { inner, traffic })
+            .max_buf_size(MAX_BUFFER_BYTES)
+            .handshake(CountingStream { inner, traffic })
             .await
             .map_err(|e| Report::new(e).change_context(Error::Unreachable))?;
         Ok(Self { sender, driver: Box::pin(driver) })
     }
 
-    /// Whether the connection can take a request; sees a close by the other side.
+    /// Polls the connection once and returns whether it can carry a request. A connection that the
+    /// peer has closed cannot.
     pub(super) fn is_usable(&mut self) -> bool {
         (&mut self.driver).now_or_never().is_none() && self.sender.is_ready()
     }
 
-    /// Sends `request` and reads the whole answer of at most `max` bytes. Gives the connection back
-    /// when it can be used again.
+    /// Sends `request` and reads the whole answer, whose body may have at most `max` bytes. Returns
+    /// the connection as well unless it was closed.
+    ///
+    /// # Errors
+    /// [`Error::NoAnswer`] if the connection fails or a timeout passes, [`Error::Malformed`] if the
+    /// body is too large or breaks the protocol. The request may have taken effect.
     pub(super) async fn exchange(
         mut self,
         request: Request<Full<Bytes>>,
         max: usize,
-        pace: Pace,
+        timeouts: AnswerTimeouts,
     ) -> Result<((StatusCode, Bytes), Option<Self>)> {
-        let head = monoio::time::timeout(pace.first, self.sender.send_request(request));
+        let head = monoio::time::timeout(timeouts.head, self.sender.send_request(request));
         let answer = head.then(|head| async move {
             match head {
-                Ok(response) => collect(response, max, pace.next).await,
+                Ok(response) => read_answer(response, max, timeouts.frame).await,
                 Err(_) => Err(Report::new(Error::NoAnswer)),
             }
         });
         let answer = match select(Box::pin(answer), &mut self.driver).await {
             Either::Left((answer, _)) => return Ok((answer?, Some(self))),
-            // The connection ended; the answer may be whole all the same.
+            // The peer closed the connection, possibly after it sent the whole answer.
             Either::Right((_, answer)) => answer.now_or_never(),
         };
         match answer {
@@ -87,18 +96,19 @@
     }
 }
 
-async fn collect(
+/// Reads the body of `response`, waiting at most `timeout` for each frame.
+async fn read_answer(
     response: hyper::Result<Response<Incoming>>,
     max: usize,
-    next: Duration,
+    timeout: Duration,
 ) -> Result<(StatusCode, Bytes)> {
     let response = response.map_err(|e| Report::new(e).change_context(Error::NoAnswer))?;
     let status = response.status();
     let mut body = Limited::new(response.into_body(), max);
     let mut bytes = BytesMut::new();
     loop {
-        let next = monoio::time::timeout(next, body.frame()).await;
-        match next.map_err(|_| Report::new(Error::NoAnswer))? {
+        let frame = monoio::time::timeout(timeout, body.frame()).await;
+        match frame.map_err(|_| Report::new(Error::NoAnswer))? {
             None => return Ok((status, bytes.freeze())),
             Some(Ok(frame)) => bytes.extend(frame.into_data().ok()),
             Some(Err(e)) => return Err(Report::new(Error::Malformed(e.to_string()))),
--- a/crates/sycamore-platform/src/http/count.rs
+++ b/crates/sycamore-platform/src/http/count.rs
@@ -1,4 +1,4 @@
-//! Counts of requests, and of bytes on the wire.
+//! Counters of requests and of bytes on the wire.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use std::cell::Cell;
@@ -6,12 +6,12 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A count that only grows.
+/// Monotonic counter.
 #[derive(Debug, Default)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
-    /// The count so far.
+impl Counter {
+    /// Returns the count since the counter was created.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
@@ -21,39 +21,40 @@
     }
 }
 
-/// What one client has sent and received.
+/// Counters of the requests and bytes of one platform client.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Read requests sent.
-    pub reads: Count,
-    /// Write requests sent.
-    pub writes: Count,
-    /// Requests without a whole answer.
-    pub failures: Count,
-    /// Requests held back by this node's share of the budget.
-    pub throttled: Count,
-    /// Bytes sent, headers included.
-    pub sent: Count,
-    /// Bytes received, headers included.
-    pub received: Count,
+    /// Number of read and watch requests that the budget allowed.
+    pub reads: Counter,
+    /// Number of write requests that the budget allowed.
+    pub writes: Counter,
+    /// Number of requests that got no complete answer.
+    pub failures: Counter,
+    /// Number of requests not sent because this node's share of the budget was spent.
+    pub throttled: Counter,
+    /// Number of bytes sent, headers included.
+    pub sent: Counter,
+    /// Number of bytes received, headers included.
+    pub received: Counter,
 }
 
-/// A stream that counts its bytes.
-pub(super) struct Counted<S> {
+/// Byte stream that counts what is read from and written to `inner`.
+pub(super) struct CountingStream<S> {
     pub(super) inner: S,
     pub(super) traffic: Rc<Traffic>,
 }
 
-impl<S: Read + Unpin> Read for Counted<S> {
+impl<S: Read + Unpin> Read for CountingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
-        // The cursor is consumed by the inner read, so a buffer of our own tells the length.
-        let mut chunk = [0u8; READ_BYTES];
-        let room = buf.remaining().min(READ_BYTES);
-        let mut read = hyper::rt::ReadBuf::new(&mut chunk[..room]);
+        // The inner read would consume the cursor without returning the number of bytes read, so
+        // the bytes go through a separate buffer whose length is known.
+        let mut chunk = [0u8; MAX_READ_BYTES];
+        let len = buf.remaining().min(MAX_READ_BYTES);
+        let mut read = hyper::rt::ReadBuf::new(&mut chunk[..len]);
         match Pin::new(&mut self.inner).poll_read(cx, read.unfilled()) {
             Poll::Ready(Ok(())) => {
                 let filled = read.filled();
@@ -66,10 +67,10 @@
     }
 }
 
-/// Bytes read at once.
-const READ_BYTES: usize = 8 << 10;
+/// Largest number of bytes taken by one read.
+const MAX_READ_BYTES: usize = 8 << 10;
 
-impl<S: Write + Unpin> Write for Counted<S> {
+impl<S: Write + Unpin> Write for CountingStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/sycamore-platform/src/http/mod.rs
+++ b/crates/sycamore-platform/src/http/mod.rs
@@ -1,7 +1,8 @@
-//! The platform over HTTP/1.1, by the protocol of `docs/INTERFACES.md` or another.
+//! HTTP/1.1 client of the platform for any [`StoreProtocol`].
 //!
-//! Uses hyper's client connection rather than monoio-http's client codec, since it bounds the
-//! headers and streams the body, so that an answer can be bounded before it is in memory.
+//! The client uses hyper's client connection instead of monoio-http's client codec, because hyper
+//! limits the size of the headers and streams the body. An oversized answer is refused before it is
+//! in memory.
 
 mod connection;
 mod count;
@@ -28,27 +29,28 @@
 use std::time::{Duration, Instant};
 use sycamore_types::prelude::*;
 
-/// Where the platform is and how it may be used.
+/// Addresses and limits of a platform client.
 #[derive(Debug, Clone)]
 pub struct HttpSettings {
-    /// Address of the table service.
+    /// Address of the transactional table.
     pub table: SocketAddr,
     /// Address of the object store.
     pub objects: SocketAddr,
-    /// Time for one request, connecting included.
+    /// Longest time until an answer begins, connecting included, and between its parts.
     pub timeout: Duration,
-    /// Connections to each of the two at most.
+    /// Largest number of connections to the table, and of those to the object store. Watches use as
+    /// many again.
     pub connections: usize,
-    /// Largest body sent or accepted, in bytes.
+    /// Largest request or answer body in bytes.
     pub body_bytes: usize,
-    /// The whole fleet's budget.
+    /// Request budget of the whole fleet.
     pub budget: BudgetSettings,
-    /// Nodes that share the budget until [`HttpPlatform::set_nodes`] tells better.
+    /// Number of nodes that share the budget until [`HttpPlatform::set_nodes`] is called.
     pub nodes: usize,
 }
 
 impl HttpSettings {
-    /// Defaults for a platform that serves both table and objects on `address`.
+    /// Creates default settings for a platform that serves table and objects at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             table: address,
@@ -62,11 +64,12 @@
     }
 }
 
-/// A client of the platform over HTTP.
+/// HTTP client of the platform's table and object store.
 pub struct HttpPlatform {
     protocol: Rc<dyn StoreProtocol>,
     table: Pool,
     objects: Pool,
+    /// Connections to the table for long polls, so that other requests don't queue behind them.
     watches: Pool,
     timeout: Duration,
     budget: RefCell<Budget>,
@@ -76,45 +79,45 @@
     observer: Option<Observer>,
 }
 
-/// Which bucket a request draws from.
+/// Token bucket from which a request is paid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Cost {
     Read,
     Write,
 }
 
-/// What a request was.
+/// Kind of a request to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// It read.
+    /// Read of rows, an object or keys.
     Read,
-    /// It wrote.
+    /// Transaction, or write of an object.
     Write,
-    /// It waited for changes.
+    /// Long poll for changed rows.
     Watch,
 }
 
-/// How a request that was sent ended: a status, or no whole answer.
+/// Result of one request to the platform that the budget allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ended {
-    /// What it was.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// The answer's status; `None` where no whole answer came.
+    /// Status of the answer; `None` if no complete answer arrived.
     pub status: Option<StatusCode>,
-    /// Time to its end, connecting included.
+    /// Time from the start of the request to its end, connecting included.
     pub took: Duration,
 }
 
-/// Is told of each request that was sent.
+/// Callback that gets the result of each request.
 pub type Observer = Rc<dyn Fn(Ended)>;
 
 impl HttpPlatform {
-    /// A client by the protocol of `docs/INTERFACES.md` that has no connection yet.
+    /// Creates a client for the protocol of `docs/INTERFACES.md`. It connects on the first request.
     pub fn new(settings: HttpSettings) -> Self {
         Self::with_protocol(settings, Rc::new(NativeProtocol))
     }
 
-    /// A client that speaks `protocol` and has no connection yet.
+    /// Creates a client for `protocol`. It connects on the first request.
     pub fn with_protocol(settings: HttpSettings, protocol: Rc<dyn StoreProtocol>) -> Self {
         let traffic = Rc::new(Traffic::default());
         let pool = |address| Pool::new(address, &settings, Rc::clone(&traffic));
@@ -138,17 +141,17 @@
         }
     }
 
-    /// The same client, which tells `observer` of each request that it sent.
+    /// Sets the callback that gets the result of each request; replaces an earlier one.
     pub fn observed_by(self, observer: Observer) -> Self {
         Self { observer: Some(observer), ..self }
     }
 
-    /// Divides the fleet's budget among `nodes` from now on.
+    /// Sets the number of nodes that share the fleet's budget.
     pub fn set_nodes(&self, nodes: usize) {
         self.budget.borrow_mut().set_nodes(nodes, self.now());
     }
 
-    /// Counts of requests and bytes since the start.
+    /// Returns the request and byte counters since the client was created.
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
@@ -157,13 +160,14 @@
         Time::default() + self.started.elapsed()
     }
 
-    fn spend(&self, cost: Cost) -> Result<()> {
+    /// Takes one token from this node's share of the budget.
+    fn take_budget(&self, cost: Cost) -> Result<()> {
         let mut budget = self.budget.borrow_mut();
-        let spent = match cost {
+        let taken = match cost {
             Cost::Read => budget.read(self.now()),
             Cost::Write => budget.write(self.now()),
         };
-        spent.map_err(|wait| {
+        taken.map_err(|wait| {
             self.traffic.throttled.add(1);
             Report::new(Error::Throttled { wait })
         })
@@ -174,27 +178,27 @@
         pool: &Pool,
         kind: RequestKind,
         request: StoreRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Bytes)> {
         let request = self.encode(request)?;
         match kind {
             RequestKind::Read | RequestKind::Watch => {
-                self.spend(Cost::Read)?;
+                self.take_budget(Cost::Read)?;
                 self.traffic.reads.add(1);
             }
             RequestKind::Write => {
-                self.spend(Cost::Write)?;
+                self.take_budget(Cost::Write)?;
                 self.traffic.writes.add(1);
             }
         }
-        let began = Instant::now();
-        let answer = pool.send(request, limit).await;
+        let started = Instant::now();
+        let answer = pool.send(request, timeout).await;
         if answer.is_err() {
             self.traffic.failures.add(1);
         }
         if let Some(observer) = &self.observer {
             let status = answer.as_ref().ok().map(|(status, _)| *status);
-            observer(Ended { kind, status, took: began.elapsed() });
+            observer(Ended { kind, status, took: started.elapsed() });
         }
         answer
     }
@@ -223,17 +227,17 @@
         self.send(pool, RequestKind::Write, request, self.timeout).await
     }
 
-    /// Waits, for as long as `wait`, for rows under `prefix` that change after revision `after`. It
-    /// has a connection of its own, so that other requests don't wait behind it.
+    /// Waits up to `wait` for rows under `prefix` that change after revision `after`. The request
+    /// uses a separate connection, so that other requests don't queue behind it.
     ///
     /// # Errors
-    /// [`Error::Unsupported`] where the platform does not tell of changes, [`Error::HistoryLost`]
-    /// where it no longer knows them, and as for any request.
+    /// [`Error::Unsupported`] if the platform does not report changes, [`Error::HistoryLost`] if it
+    /// no longer holds them, and the errors of any request.
     pub async fn changes(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Changes> {
         let request = self.protocol.changes(prefix, after, wait);
         let request = request.ok_or_else(|| Report::new(Error::Unsupported))?;
-        let limit = wait + self.timeout;
-        let (status, body) = self.send(&self.watches, RequestKind::Watch, request, limit).await?;
+        let timeout = wait + self.timeout;
+        let (status, body) = self.send(&self.watches, RequestKind::Watch, request, timeout).await?;
         self.protocol.changed(prefix, status, &body)
     }
 }
--- a/crates/sycamore-platform/src/http/native.rs
+++ b/crates/sycamore-platform/src/http/native.rs
@@ -1,4 +1,4 @@
-//! The protocol of `docs/INTERFACES.md`.
+//! Table and object store protocol of `docs/INTERFACES.md`.
 
 use super::protocol::{escape, unexpected, StoreProtocol, StoreRequest};
 use crate::error::{Error, Result};
@@ -10,10 +10,11 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// The protocol of `docs/INTERFACES.md`.
+/// Table and object store protocol of `docs/INTERFACES.md`.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NativeProtocol;
 
+/// Body of an answer to `POST /table/transact`.
 #[derive(Deserialize)]
 struct TransactAnswer {
     committed: bool,
--- a/crates/sycamore-platform/src/http/pool.rs
+++ b/crates/sycamore-platform/src/http/pool.rs
@@ -1,6 +1,6 @@
-//! A few connections to one address.
+//! Connection pool for one address.
 
-use super::connection::{Connection, Pace};
+use super::connection::{AnswerTimeouts, Connection};
 use super::count::Traffic;
 use super::HttpSettings;
 use crate::error::{Error, Result};
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How many times its limit a request may take in all, however its answer moves.
-const MOST_LIMITS: u32 = 10;
+/// Longest time of one request as a multiple of its timeout, however steadily its answer arrives.
+const MAX_TIMEOUTS_PER_REQUEST: u32 = 10;
 
-/// Open connections, and the bound on how many requests are under way at once.
+/// Pool of connections to one address, which also limits the number of concurrent requests.
 pub(super) struct Pool {
     address: SocketAddr,
     body_bytes: usize,
@@ -37,42 +37,51 @@
         }
     }
 
-    /// Sends `request`. Its answer must begin within `limit`, waiting for a free connection included,
-    /// and then go on at least every `limit`: a large one takes its time on a slow link.
+    /// Sends `request` and returns the status and body of its answer.
+    ///
+    /// The answer's head must arrive within `timeout`, which includes the wait for a free
+    /// connection, and each part of the body within `timeout` of the part before it, so that a large
+    /// answer over a slow link may take longer than `timeout` in all.
+    ///
+    /// # Errors
+    /// [`Error::Unreachable`] if no connection was available in time; nothing was sent.
+    /// [`Error::NoAnswer`] and [`Error::Malformed`] if the request may have taken effect.
     pub(super) async fn send(
         &self,
         request: Request<Full<Bytes>>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Bytes)> {
         let sent = Cell::new(false);
-        let most = limit * MOST_LIMITS;
-        match monoio::time::timeout(most, self.exchange(request, &sent, limit)).await {
+        let total = timeout * MAX_TIMEOUTS_PER_REQUEST;
+        match monoio::time::timeout(total, self.exchange(request, &sent, timeout)).await {
             Ok(answer) => answer,
             Err(_) if sent.get() => Err(Report::new(Error::NoAnswer)),
             Err(_) => Err(Report::new(Error::Unreachable)),
         }
     }
 
+    /// Sends `request` on an idle or new connection and sets `sent` just before it does.
     async fn exchange(
         &self,
         request: Request<Full<Bytes>>,
         sent: &Cell<bool>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Bytes)> {
-        let begun = Instant::now();
-        let connected = monoio::time::timeout(limit, self.connect()).await;
+        let started = Instant::now();
+        let connected = monoio::time::timeout(timeout, self.acquire()).await;
         let (_permit, connection) = connected.unwrap_or_else(|_| Err(Error::Unreachable.into()))?;
         sent.set(true);
-        let first = limit.saturating_sub(begun.elapsed());
-        let (answer, connection) =
-            connection.exchange(request, self.body_bytes, Pace { first, next: limit }).await?;
+        let head = timeout.saturating_sub(started.elapsed());
+        let timeouts = AnswerTimeouts { head, frame: timeout };
+        let (answer, connection) = connection.exchange(request, self.body_bytes, timeouts).await?;
         self.idle.borrow_mut().extend(connection);
         Ok(answer)
     }
 
-    async fn connect(&self) -> Result<(SemaphorePermit<'_>, Connection)> {
+    /// Waits for a permit, then takes an idle connection or opens a new one.
+    async fn acquire(&self) -> Result<(SemaphorePermit<'_>, Connection)> {
         let permit = self.permits.acquire().await.map_err(|_| Report::new(Error::Unreachable))?;
-        match self.idle() {
+        match self.take_idle() {
             Some(connection) => Ok((permit, connection)),
             None => {
                 let opened = Connection::open(self.address, Rc::clone(&self.traffic)).await?;
@@ -81,7 +90,8 @@
         }
     }
 
-    fn idle(&self) -> Option<Connection> {
+    /// Takes a usable idle connection and drops those that the peer has closed.
+    fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(mut connection) = idle.pop() {
             if connection.is_usable() {
--- a/crates/sycamore-platform/src/http/protocol.rs
+++ b/crates/sycamore-platform/src/http/protocol.rs
@@ -1,5 +1,5 @@
-//! The protocol that a platform speaks: how requests to its table and its object store are written
-//! and their answers read.
+//! Interface of a platform protocol, which encodes requests to the table and the object store and
+//! decodes their answers.
 
 use crate::error::{Error, Result};
 use crate::objects::Put;
@@ -9,56 +9,56 @@
 use http::{Method, StatusCode};
 use std::time::Duration;
 
-/// A request as a platform takes it.
+/// HTTP request in a platform's protocol.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query, percent-encoded.
     pub target: String,
-    /// Its body.
+    /// Request body, sent as `application/json` unless it is empty.
     pub body: Bytes,
-    /// The object must not exist yet.
+    /// Whether the request fails if its object exists (`if-none-match: *`).
     pub only_new: bool,
 }
 
 impl StoreRequest {
-    /// A request without a body.
+    /// Creates a `GET` request without a body.
     pub fn get(target: String) -> Self {
         Self { method: Method::GET, target, body: Bytes::new(), only_new: false }
     }
 }
 
-/// Writes requests and reads answers; sends nothing itself.
+/// Encoder of requests to a platform and decoder of its answers; sends nothing itself.
 ///
-/// Reading an answer fails with [`Error::Refused`] only where the platform promises that the request
-/// had no effect.
+/// Decoding fails with [`Error::Refused`] only if the platform guarantees that the request had no
+/// effect.
 pub trait StoreProtocol {
-    /// Reads the row under `key`.
+    /// Encodes a read of the row at `key`.
     fn get(&self, key: &str) -> StoreRequest;
 
-    /// The row that [`StoreProtocol::get`] found.
+    /// Decodes the answer to [`StoreProtocol::get`]; `None` if the row is absent.
     ///
     /// # Errors
-    /// [`Error`] where the answer is a refusal or malformed, as with all answers.
+    /// [`Error::Refused`] or [`Error::Malformed`], by the status and the body.
     fn row(&self, key: &str, status: StatusCode, body: &[u8]) -> Result<Option<Row>>;
 
-    /// Reads rows in the order of their keys.
+    /// Encodes a read of one page of rows in key order.
     fn list(&self, query: PageQuery<'_>) -> StoreRequest;
 
-    /// The rows that [`StoreProtocol::list`] found.
+    /// Decodes the answer to [`StoreProtocol::list`].
     ///
     /// # Errors
-    /// [`Error`] where the answer is a refusal or malformed.
+    /// [`Error::Refused`] or [`Error::Malformed`], by the status and the body.
     fn page(&self, query: PageQuery<'_>, status: StatusCode, body: &[u8]) -> Result<Page>;
 
-    /// Runs a transaction.
+    /// Encodes a transaction.
     fn transact(&self, transaction: &Transaction) -> StoreRequest;
 
-    /// What became of a transaction.
+    /// Decodes the answer to [`StoreProtocol::transact`].
     ///
     /// # Errors
-    /// [`Error`] where the answer is a refusal or malformed.
+    /// [`Error::Refused`] or [`Error::Malformed`], by the status and the body.
     fn transacted(
         &self,
         transaction: &Transaction,
@@ -66,29 +66,30 @@
         body: &[u8],
     ) -> Result<Transacted>;
 
-    /// Waits for rows under `prefix` that changed after revision `after`; `None` where the platform
-    /// does not tell of changes.
+    /// Encodes a long poll of at most `wait` for rows under `prefix` that changed after revision
+    /// `after`; `None` if the platform does not report changes.
     fn changes(&self, prefix: &str, after: Revision, wait: Duration) -> Option<StoreRequest> {
         let _ = (prefix, after, wait);
         None
     }
 
-    /// The changes that [`StoreProtocol::changes`] found.
+    /// Decodes the answer to [`StoreProtocol::changes`].
     ///
     /// # Errors
-    /// [`Error::HistoryLost`] where the platform no longer knows what changed since.
+    /// [`Error::HistoryLost`] if the platform no longer holds the changes since that revision,
+    /// otherwise [`Error::Refused`] or [`Error::Malformed`].
     fn changed(&self, prefix: &str, status: StatusCode, body: &[u8]) -> Result<Changes> {
         let _ = (prefix, body);
         Err(unexpected(status))
     }
 
-    /// Stores an object unless there is one.
+    /// Encodes a write of the object at `key` that keeps an existing one.
     fn put(&self, key: &str, body: Bytes) -> StoreRequest;
 
-    /// What [`StoreProtocol::put`] found.
+    /// Decodes the answer to [`StoreProtocol::put`], of which the status is enough.
     ///
     /// # Errors
-    /// [`Error`] where the answer is a refusal or malformed.
+    /// [`Error::Refused`] or [`Error::Malformed`], by the status.
     fn stored(&self, status: StatusCode) -> Result<Put> {
         match status {
             StatusCode::PRECONDITION_FAILED => Ok(Put::Exists),
@@ -97,31 +98,35 @@
         }
     }
 
-    /// Reads an object; 404 stands for none.
+    /// Encodes a read of the object at `key`. The platform answers 200 with the object as the body,
+    /// or 404 if it is absent.
     fn fetch(&self, key: &str) -> StoreRequest;
 
-    /// Reads the keys of objects that start with `prefix`.
+    /// Encodes a read of the object keys that start with `prefix`.
     fn keys(&self, prefix: &str) -> StoreRequest;
 
-    /// The keys that [`StoreProtocol::keys`] found.
+    /// Decodes the answer to [`StoreProtocol::keys`].
     ///
     /// # Errors
-    /// [`Error`] where the answer is a refusal or malformed.
+    /// [`Error::Refused`] or [`Error::Malformed`], by the status and the body.
     fn names(&self, status: StatusCode, body: &[u8]) -> Result<Vec<String>>;
 }
 
-/// The error for a status that a protocol gives no other meaning. Only 429 and 503 promise that the
-/// request had no effect.
+/// Returns the error for a status to which a protocol gives no other meaning.
+///
+/// 429 and 503 are [`Error::Refused`]: only these guarantee that the request had no effect. All
+/// other statuses are [`Error::Malformed`].
 pub fn unexpected(status: StatusCode) -> Report<Error> {
     Report::new(match status {
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
             Error::Refused { status: status.as_u16() }
         }
-        status => Error::Malformed(format!("status {}", status.as_u16())),
+        status => Error::Malformed(format!("unexpected status {}", status.as_u16())),
     })
 }
 
-/// Percent-encodes all but unreserved characters, `/` and `:` (RFC 3986, section 2.3).
+/// Percent-encodes all bytes of `text` but unreserved characters (RFC 3986, section 2.3), `/` and
+/// `:`.
 pub fn escape(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/crates/sycamore-platform/tests/http.rs
+++ b/crates/sycamore-platform/tests/http.rs
@@ -1,4 +1,7 @@
-//! The HTTP client against raw bytes: what an answer, or its lack, says about a request's effect.
+//! Tests of the HTTP client against a server that writes raw bytes.
+//!
+//! Guards against a wrong conclusion from an answer, or from a missing one, about whether the
+//! request took effect.
 
 use bytes::Bytes;
 use std::io::{Read, Write};
@@ -30,8 +33,8 @@
     text
 }
 
-/// Answers one request on each connection with the next of `answers` and closes it; returns the
-/// requests' first lines.
+/// Starts a server that accepts one connection per entry of `answers`, answers one request on it and
+/// closes it. The thread returns the first line of each request.
 fn serve(
     answers: Vec<&'static str>,
 ) -> (HttpPlatform, SocketAddr, std::thread::JoinHandle<Vec<String>>) {
@@ -60,8 +63,10 @@
     answer.map_err(|report| report.current_context().clone())
 }
 
+// Guards against a committed transaction whose revisions are not decoded or whose request and bytes
+// are not counted.
 #[test]
-fn a_committed_transaction_tells_revisions() {
+fn committed_transaction_returns_revisions_and_counts_traffic() {
     let (platform, _, server) = serve(vec![COMMITTED]);
     match transact(&platform) {
         Ok(Transacted::Committed { revisions }) => assert_eq!(revisions["k"], Revision(4)),
@@ -73,8 +78,10 @@
     assert!(platform.traffic().received.get() > 50);
 }
 
+// Guards against concluding that a write had no effect when the connection closes before or within
+// the answer, or when the status is 500.
 #[test]
-fn a_cut_connection_may_have_had_its_effect() {
+fn closed_connection_and_status_500_leave_the_effect_unknown() {
     let cut = "HTTP/1.1 200 OK\r\ncontent-length: 38\r\n\r\n{\"committed\":tr";
     let (platform, _, server) =
         serve(vec!["", cut, "HTTP/1.1 500 Oops\r\ncontent-length: 0\r\n\r\n"]);
@@ -84,8 +91,10 @@
     server.join().unwrap();
 }
 
+// Guards against an unknown effect where there was none: the platform answered 429 or 503, or no
+// connection could be made.
 #[test]
-fn a_refusal_had_no_effect() {
+fn refused_request_had_no_effect() {
     let (platform, address, server) = serve(vec![
         "HTTP/1.1 503 Out\r\ncontent-length: 0\r\n\r\n",
         "HTTP/1.1 429 Slow down\r\ncontent-length: 0\r\n\r\n",
@@ -97,8 +106,10 @@
     assert_eq!(transact(&platform), Err(Error::Unreachable));
 }
 
+// Guards against reading an answer into memory whose declared length exceeds the body limit, and
+// against a request after it that reuses that connection or sends its key unescaped.
 #[test]
-fn an_oversized_answer_is_refused() {
+fn oversized_answer_is_refused() {
     let (platform, _, server) =
         serve(vec!["HTTP/1.1 200 OK\r\ncontent-length: 4000\r\n\r\n", "HTTP/1.1 404 No\r\n\r\n"]);
     let error = run(platform.fetch("config/x")).unwrap_err();
@@ -108,8 +119,10 @@
     assert_eq!(lines[1], "GET /objects/config/x%20y HTTP/1.1");
 }
 
+// Guards against an existing object that counts as stored or as a failure, and against sending a
+// body above the limit.
 #[test]
-fn an_object_that_is_there_is_left_as_it_is() {
+fn put_reports_an_existing_object_and_refuses_an_oversized_body() {
     let (platform, _, server) = serve(vec![
         "HTTP/1.1 201 Created\r\ncontent-length: 0\r\n\r\n",
         "HTTP/1.1 412 There\r\ncontent-length: 0\r\n\r\n",
@@ -122,7 +135,8 @@
     server.join().unwrap();
 }
 
-/// Answers with `part`s, each `gap` after the one before, then waits.
+/// Starts a server that answers one request with `parts`, waits `gap` before each, and then keeps
+/// the connection open for 5 s. The client waits at most `timeout` for each part.
 fn serve_slowly(parts: Vec<String>, gap: Duration, timeout: Duration) -> HttpPlatform {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback is free");
     let address = listener.local_addr().expect("bound");
@@ -131,7 +145,7 @@
         read_request(&mut stream);
         for part in parts {
             std::thread::sleep(gap);
-            // The client may have given up.
+            // Fails if the client has timed out and closed the connection.
             let _ = stream.write_all(part.as_bytes());
         }
         std::thread::sleep(Duration::from_secs(5));
@@ -139,8 +153,10 @@
     HttpPlatform::new(HttpSettings { timeout, ..HttpSettings::new(address) })
 }
 
+// Guards against a timeout on the whole answer: a large object over a slow link takes longer than
+// the timeout, but each of its parts arrives in time.
 #[test]
-fn a_large_answer_over_a_slow_link_may_take_longer_than_the_timeout_as_long_as_it_moves() {
+fn slow_answer_may_exceed_the_timeout_while_its_parts_arrive_in_time() {
     let (gap, timeout) = (Duration::from_millis(100), Duration::from_millis(250));
     let mut parts = vec!["HTTP/1.1 200 OK\r\ncontent-length: 80\r\n\r\n".to_owned()];
     parts.extend((0..8).map(|_| "0123456789".to_owned()));
@@ -149,13 +165,14 @@
     assert_eq!(object.len(), 80);
 }
 
+// Guards against waiting without end for the rest of an answer that stops within its body.
 #[test]
-fn an_answer_that_stops_halfway_is_given_up_after_the_timeout() {
+fn answer_that_stalls_within_its_body_fails_after_the_timeout() {
     let timeout = Duration::from_millis(250);
     let parts = vec!["HTTP/1.1 200 OK\r\ncontent-length: 80\r\n\r\n0123456789".to_owned()];
     let platform = serve_slowly(parts, Duration::ZERO, timeout);
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let answer = run(platform.fetch("config/a")).map_err(|r| r.current_context().clone());
     assert_eq!(answer, Err(Error::NoAnswer));
-    assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
 }
