--- a/crates/sycamore-http/src/conn/client.rs
+++ b/crates/sycamore-http/src/conn/client.rs
@@ -1,4 +1,4 @@
-//! A small client for whole messages, with a bounded pool of connections to one address.
+//! HTTP/1.1 client of one address for messages held in memory, with a bounded pool of connections.
 
 use super::error::ReadError;
 use super::reader::{write_all, Reader};
@@ -17,18 +17,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Settings of a [`Client`].
+/// Limits of a [`Client`].
 #[derive(Debug, Clone)]
 pub struct ClientConfig {
-    /// Limits of heads.
+    /// Limits on the heads of responses.
     pub head: HeadLimits,
-    /// Longest body of a response, in bytes.
+    /// Largest body of a response, in bytes.
     pub body_bytes: usize,
-    /// Longest time to connect.
+    /// Longest time to open a connection.
     pub connect_time: Duration,
-    /// Longest time from the request's first byte to the response's last.
+    /// Longest time from the first byte of a request to the last byte of its response.
     pub call_time: Duration,
-    /// Idle connections kept.
+    /// Largest number of idle connections kept for later requests.
     pub idle: usize,
 }
 
@@ -44,23 +44,23 @@
     }
 }
 
-/// Why a call failed.
+/// Error of a request sent by a [`Client`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientError {
-    /// No connection: the request was certainly not sent.
+    /// No connection could be opened; the request was not sent.
     Connect,
-    /// The request may have taken effect, but no whole response came.
+    /// The connection failed or the response was invalid; the request may have taken effect.
     Broken,
-    /// The request may have taken effect, but no response came in time.
+    /// No complete response arrived in time; the request may have taken effect.
     TimedOut,
 }
 
 impl fmt::Display for ClientError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ClientError::Connect => "no connection",
-            ClientError::Broken => "no whole response",
-            ClientError::TimedOut => "no response in time",
+            ClientError::Connect => "connection could not be opened",
+            ClientError::Broken => "no complete and valid response was received",
+            ClientError::TimedOut => "response was not received in time",
         })
     }
 }
@@ -73,7 +73,7 @@
     writer: OwnedWriteHalf<TcpStream>,
 }
 
-/// Calls one address.
+/// HTTP/1.1 client of one address.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
@@ -82,22 +82,22 @@
 }
 
 impl Client {
-    /// A client of `address`.
+    /// Creates a client of `address`. It connects on the first request.
     pub fn new(address: SocketAddr, config: ClientConfig) -> Self {
         Self { address, config, idle: RefCell::new(Vec::new()) }
     }
 
-    /// The address that it calls.
+    /// Returns the address to which the client sends its requests.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends `req` and reads the whole response. Nothing is sent twice.
+    /// Sends `req` once, without retries, and reads the whole response.
     ///
     /// # Errors
-    /// [`ClientError`], which says whether the request may have taken effect.
+    /// [`ClientError`], whose variants distinguish whether the request may have taken effect.
     pub async fn send(&self, req: Request<Bytes>) -> Result<Response<Bytes>, Report<ClientError>> {
-        let pooled = self.idle_connection();
+        let pooled = self.take_idle();
         let mut conn = match pooled {
             Some(conn) => conn,
             None => self.connect().await?,
@@ -112,8 +112,9 @@
         Ok(resp)
     }
 
-    /// An idle connection that the peer has not closed.
-    fn idle_connection(&self) -> Option<Pooled> {
+    /// Takes an idle connection that the peer has not closed and on which no bytes arrived since the
+    /// last response, and drops the others.
+    fn take_idle(&self) -> Option<Pooled> {
         loop {
             let mut conn = self.idle.borrow_mut().pop()?;
             let closed = conn.reader.closed().now_or_never().is_some();
@@ -132,6 +133,7 @@
         Ok(Pooled { reader: Reader::new(read), writer })
     }
 
+    /// Sends `req` on `conn` and reads the response. Also returns whether `conn` can be reused.
     async fn exchange(
         &self,
         conn: &mut Pooled,
--- a/crates/sycamore-http/src/conn/error.rs
+++ b/crates/sycamore-http/src/conn/error.rs
@@ -1,34 +1,34 @@
-//! What can go wrong while a message is read.
+//! Errors of reading a message from a stream.
 
 use crate::wire::{BodyError, HeadError};
 use std::fmt;
 use std::io;
 
-/// Why a message could not be read.
+/// Error of reading a message from a stream.
 #[derive(Debug)]
 pub enum ReadError {
     /// The peer closed the connection before a message began.
     Closed,
     /// The peer closed the connection within a message.
     Cut,
-    /// The head is refused.
+    /// The head is invalid or exceeds a limit.
     Head(HeadError),
-    /// The body's framing is broken.
+    /// The framing of the body is invalid.
     Body(BodyError),
-    /// The body is longer than its limit.
+    /// The body is larger than the caller's limit.
     BodyTooLarge,
-    /// The connection failed.
+    /// Reading from or writing to the stream failed.
     Io(io::Error),
 }
 
 impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ReadError::Closed => f.write_str("connection was closed"),
-            ReadError::Cut => f.write_str("connection was closed within a message"),
-            ReadError::Head(err) => write!(f, "head was refused: {err}"),
-            ReadError::Body(err) => write!(f, "body was refused: {err}"),
-            ReadError::BodyTooLarge => f.write_str("body is too large"),
+            ReadError::Closed => f.write_str("peer closed the connection before a message"),
+            ReadError::Cut => f.write_str("peer closed the connection within a message"),
+            ReadError::Head(err) => write!(f, "message head is invalid: {err}"),
+            ReadError::Body(err) => write!(f, "message body is invalid: {err}"),
+            ReadError::BodyTooLarge => f.write_str("message body is larger than the limit"),
             ReadError::Io(err) => write!(f, "connection failed: {err}"),
         }
     }
--- a/crates/sycamore-http/src/conn/mod.rs
+++ b/crates/sycamore-http/src/conn/mod.rs
@@ -1,7 +1,7 @@
-//! Messages over streams of `monoio`.
+//! HTTP/1.1 messages on `monoio` streams.
 //!
-//! Every read future may be dropped while it waits, and loses no bytes: reads happen when the
-//! socket is ready (the legacy driver), and what was read is kept in the [`Reader`].
+//! Read futures are cancel safe: dropping one loses no bytes, because the legacy driver reads only
+//! when the socket is ready and the [`Reader`] buffers what was read.
 
 mod client;
 mod error;
--- a/crates/sycamore-http/src/conn/reader.rs
+++ b/crates/sycamore-http/src/conn/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of heads and bodies, and the relay of a body from one stream to another.
+//! Buffered reader of message heads and bodies, and the relay of a body between two streams.
 
 use super::error::ReadError;
 use crate::wire::{
@@ -10,14 +10,14 @@
 use monoio::io::{AsyncReadRent, AsyncWriteRent, AsyncWriteRentExt};
 use std::io;
 
-/// Bytes read at a time, and so the most that a relayed body holds in memory.
+/// Largest number of bytes per read; limits the memory of a relayed body.
 const READ_BYTES: usize = 16 << 10;
-/// Bytes of later messages kept while an earlier one is being served.
-const MAX_READ_AHEAD: usize = 64 << 10;
-/// Interim responses taken before a final one.
-const MAX_INTERIM: usize = 8;
+/// Largest number of bytes buffered from later messages while an earlier one is served.
+const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
+/// Largest number of interim responses accepted before a final one.
+const MAX_INTERIM_RESPONSES: usize = 8;
 
-/// Reads messages off a stream.
+/// Buffered reader of the messages on a stream.
 #[derive(Debug)]
 pub struct Reader<R> {
     stream: R,
@@ -26,20 +26,20 @@
 }
 
 impl<R: AsyncReadRent> Reader<R> {
-    /// A reader of `stream`.
+    /// Creates a reader of `stream` with an empty buffer.
     pub fn new(stream: R) -> Self {
         Self { stream, buf: BytesMut::new(), ended: false }
     }
 
-    /// Whether bytes were read that no message has taken yet.
+    /// Returns whether the buffer holds bytes that no message has consumed.
     pub fn has_unread(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// Waits until a byte of the next message is there.
+    /// Waits until at least one byte of the next message is in the buffer.
     ///
     /// # Errors
-    /// [`ReadError::Closed`] where the peer closed the connection.
+    /// [`ReadError::Closed`] if the peer closed the connection, [`ReadError::Io`] if reading failed.
     pub async fn wait(&mut self) -> Result<(), ReadError> {
         if self.buf.is_empty() && self.fill().await? == 0 {
             return Err(ReadError::Closed);
@@ -47,10 +47,11 @@
         Ok(())
     }
 
-    /// Reads a request's head.
+    /// Reads the head of the next request.
     ///
     /// # Errors
-    /// [`ReadError`] where there is none, or it is refused.
+    /// [`ReadError::Closed`] or [`ReadError::Cut`] if the stream ends before or within the head,
+    /// [`ReadError::Head`] if it is invalid, [`ReadError::Io`] if reading failed.
     pub async fn request_head(&mut self, limits: &HeadLimits) -> Result<RequestHead, ReadError> {
         loop {
             if let Some(head) = parse_request(&mut self.buf, limits)? {
@@ -60,12 +61,13 @@
         }
     }
 
-    /// Reads a response's head; interim responses are passed over.
+    /// Reads the head of the next final response and skips interim (1xx) ones.
     ///
     /// # Errors
-    /// [`ReadError`] where there is none, or it is refused.
+    /// The errors of [`Reader::request_head`], and [`HeadError::Malformed`] after too many interim
+    /// responses.
     pub async fn response_head(&mut self, limits: &HeadLimits) -> Result<ResponseHead, ReadError> {
-        for _ in 0..=MAX_INTERIM {
+        for _ in 0..=MAX_INTERIM_RESPONSES {
             let head = self.any_response_head(limits).await?;
             if !is_interim(head.status) {
                 return Ok(head);
@@ -74,10 +76,10 @@
         Err(ReadError::Head(HeadError::Malformed))
     }
 
-    /// Reads a response's head, interim ones included.
+    /// Reads the head of the next response, which may be an interim (1xx) one.
     ///
     /// # Errors
-    /// [`ReadError`] where there is none, or it is refused.
+    /// The errors of [`Reader::request_head`].
     pub async fn any_response_head(
         &mut self,
         limits: &HeadLimits,
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Reads and drops what the peer still sends, at most `limit` bytes, until it closes.
+    /// Reads and discards bytes until the peer closes the connection, reading fails, or `limit`
+    /// bytes were discarded.
     pub async fn discard(&mut self, limit: usize) {
         let mut dropped = self.buf.len();
         self.buf.clear();
@@ -103,10 +106,11 @@
         }
     }
 
-    /// Reads the next piece of a body; `None` at its end.
+    /// Reads the next piece of the body that `body` decodes; `None` at its end.
     ///
     /// # Errors
-    /// [`ReadError::Cut`] where the stream ends first, [`ReadError::Body`] where framing is broken.
+    /// [`ReadError::Cut`] if the stream ends within the body, [`ReadError::Body`] if the framing is
+    /// invalid, [`ReadError::Io`] if reading failed.
     pub async fn piece(&mut self, body: &mut BodyDecoder) -> Result<Option<Bytes>, ReadError> {
         loop {
             match body.decode(&mut self.buf)? {
@@ -119,15 +123,16 @@
 
     async fn fill_body(&mut self, body: &mut BodyDecoder) -> Result<(), ReadError> {
         match self.fill().await? {
-            0 if !body.closed() => Err(ReadError::Cut),
+            0 if !body.peer_closed() => Err(ReadError::Cut),
             _ => Ok(()),
         }
     }
 
-    /// Reads a whole body of at most `limit` bytes.
+    /// Reads the whole body that `body` decodes, at most `limit` bytes.
     ///
     /// # Errors
-    /// [`ReadError::BodyTooLarge`] over the limit, otherwise as [`Reader::piece`].
+    /// [`ReadError::BodyTooLarge`] if the body is larger than `limit`, and the errors of
+    /// [`Reader::piece`].
     pub async fn body(&mut self, mut body: BodyDecoder, limit: usize) -> Result<Bytes, ReadError> {
         let mut whole = BytesMut::new();
         while let Some(piece) = self.piece(&mut body).await? {
@@ -139,10 +144,12 @@
         Ok(whole.freeze())
     }
 
-    /// Waits until the peer closes the connection. Bytes that come meanwhile are kept; a peer that
-    /// sends more than a bound ahead is read no further.
+    /// Waits until the peer closes the connection or reading fails.
+    ///
+    /// Bytes that arrive meanwhile are buffered. Once the buffer holds `MAX_READ_AHEAD_BYTES`,
+    /// nothing more is read and the future never completes.
     pub async fn closed(&mut self) {
-        while self.buf.len() < MAX_READ_AHEAD {
+        while self.buf.len() < MAX_READ_AHEAD_BYTES {
             match self.fill().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
@@ -152,51 +159,53 @@
     }
 
     async fn fill_head(&mut self) -> Result<(), ReadError> {
-        let begun = !self.buf.is_empty();
+        let started = !self.buf.is_empty();
         match self.fill().await {
-            Ok(0) if begun => Err(ReadError::Cut),
+            Ok(0) if started => Err(ReadError::Cut),
             Ok(0) => Err(ReadError::Closed),
             Ok(_) => Ok(()),
             Err(err) => Err(ReadError::Io(err)),
         }
     }
 
-    /// Reads once; 0 at the end of the stream.
+    /// Reads once into the buffer and returns the number of bytes, 0 at the end of the stream.
     async fn fill(&mut self) -> io::Result<usize> {
         if self.ended {
             return Ok(0);
         }
-        let (read, mut fresh) = self.stream.read(BytesMut::with_capacity(READ_BYTES)).await;
+        let (read, mut new) = self.stream.read(BytesMut::with_capacity(READ_BYTES)).await;
         let read = read?;
-        fresh.truncate(read);
+        new.truncate(read);
         self.ended = read == 0;
         if self.buf.is_empty() {
-            self.buf = fresh;
+            self.buf = new;
         } else {
-            self.buf.extend_from_slice(&fresh);
+            self.buf.extend_from_slice(&new);
         }
         Ok(read)
     }
 }
 
-/// Switching protocols is final: nothing of HTTP follows it.
+/// Returns whether a final response follows one with `status`. After 101 Switching Protocols no
+/// further HTTP message follows, so it counts as final.
 fn is_interim(status: StatusCode) -> bool {
     status.is_informational() && status != StatusCode::SWITCHING_PROTOCOLS
 }
 
-/// Writes all of `bytes`.
+/// Writes all of `bytes` to `stream`.
 ///
 /// # Errors
-/// The stream's error; part of `bytes` may have been written.
+/// I/O error of the stream; part of `bytes` may have been written.
 pub async fn write_all(stream: &mut impl AsyncWriteRent, bytes: Bytes) -> io::Result<()> {
     stream.write_all(bytes).await.0.map(drop)
 }
 
-/// Relays a body piece by piece, with at most one piece in memory. `out` holds what is to be
-/// written before it, such as the head.
+/// Relays a body from `reader` to `writer` piece by piece, with at most one piece in memory.
+///
+/// `out` holds bytes to write before the body, such as the head.
 ///
 /// # Errors
-/// The reading side's error as `Ok(Err(..))`, the writing side's as `Err(..)`.
+/// Errors of reading and of the framing as `Ok(Err(..))`, errors of writing as `Err(..)`.
 pub async fn relay_body<R: AsyncReadRent>(
     reader: &mut Reader<R>,
     decoder: &mut BodyDecoder,
--- a/crates/sycamore-http/src/conn/server.rs
+++ b/crates/sycamore-http/src/conn/server.rs
@@ -1,4 +1,5 @@
-//! A small server for whole messages: operators' commands, announcements, stand-ins.
+//! HTTP/1.1 server for messages held in memory, such as operators' commands and upstreams'
+//! announcements.
 
 use super::error::ReadError;
 use super::reader::{write_all, Reader};
@@ -17,16 +18,16 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Limits of a served connection.
+/// Limits of a server connection.
 #[derive(Debug, Clone)]
 pub struct ServeConfig {
-    /// Limits of heads.
+    /// Limits on the heads of requests.
     pub head: HeadLimits,
-    /// Longest body, in bytes.
+    /// Largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// Longest time to send one request, and to take one response.
+    /// Longest time to read one request, and to write one response.
     pub message_time: Duration,
-    /// Longest time between messages.
+    /// Longest time that a connection may stay idle between requests.
     pub idle_time: Duration,
 }
 
@@ -41,14 +42,14 @@
     }
 }
 
-/// Why a connection was given up.
+/// Error that ends a server connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServeError {
-    /// A request could not be read.
+    /// Reading a request failed, or the request was invalid.
     Read,
-    /// A response could not be written.
+    /// Writing a response failed.
     Write,
-    /// A message took too long.
+    /// Reading a request or writing a response took longer than [`ServeConfig::message_time`].
     TimedOut,
 }
 
@@ -57,14 +58,14 @@
         f.write_str(match self {
             ServeError::Read => "request could not be read",
             ServeError::Write => "response could not be written",
-            ServeError::TimedOut => "message took too long",
+            ServeError::TimedOut => "request or response exceeded its time limit",
         })
     }
 }
 
 impl std::error::Error for ServeError {}
 
-/// A connection that whole requests come from.
+/// Server side of a connection, which reads whole requests and writes whole responses.
 #[derive(Debug)]
 pub struct Connection<S: AsyncWriteRent> {
     reader: Reader<OwnedReadHalf<S>>,
@@ -74,7 +75,7 @@
 }
 
 impl<S: AsyncReadRent + AsyncWriteRent> Connection<S> {
-    /// A connection over `stream`.
+    /// Creates a connection on `stream`.
     pub fn new(stream: S, config: ServeConfig) -> Self
     where
         S: Splitable<OwnedRead = OwnedReadHalf<S>, OwnedWrite = OwnedWriteHalf<S>>,
@@ -83,17 +84,18 @@
         Self { reader: Reader::new(read), writer, config, close: false }
     }
 
-    /// Waits until a request begins; `false` where the peer leaves or stays idle instead.
+    /// Waits until the next request begins. Returns `false` if the connection is to be closed, the
+    /// peer closed it, or it was idle for longer than [`ServeConfig::idle_time`].
     pub async fn wait(&mut self) -> bool {
         !self.close
             && matches!(timeout(self.config.idle_time, self.reader.wait()).await, Ok(Ok(())))
     }
 
-    /// Reads the next request; `None` where the peer closed the connection instead. A request that
-    /// is refused is answered here.
+    /// Reads the next request; `None` if the peer closed the connection instead. An invalid or
+    /// oversized request is answered with an error status.
     ///
     /// # Errors
-    /// [`ServeError`] where the connection can't be used any further.
+    /// [`ServeError`] if the connection can't be used any further.
     pub async fn request(&mut self) -> Result<Option<Request<Bytes>>, Report<ServeError>> {
         let read = timeout(self.config.message_time, self.read()).await;
         match read.change_context(ServeError::TimedOut)? {
@@ -120,6 +122,7 @@
         Ok(Request::from_parts(head, body))
     }
 
+    /// Answers a request that failed with `err`, unless the connection itself failed.
     async fn refuse(&mut self, err: &ReadError) {
         let status = match err {
             ReadError::Head(err) => err.status(),
@@ -130,14 +133,14 @@
         let mut resp = Response::new(Bytes::from(err.to_string()));
         *resp.status_mut() = status;
         self.close = true;
-        // The connection is given up either way.
+        // The connection is closed whether or not the response could be written.
         drop(self.respond(resp).await);
     }
 
-    /// Writes the response to the request last read.
+    /// Writes the response to the last request.
     ///
     /// # Errors
-    /// [`ServeError`] where the connection can't be used any further.
+    /// [`ServeError`] if the connection can't be used any further.
     pub async fn respond(&mut self, resp: Response<Bytes>) -> Result<(), Report<ServeError>> {
         let (mut head, body) = resp.into_parts();
         if self.close {
@@ -151,7 +154,7 @@
         written.change_context(ServeError::TimedOut)?.change_context(ServeError::Write)
     }
 
-    /// Closes the connection after the next response.
+    /// Marks the connection to be closed after the next response, which says so in its head.
     pub fn close_next(&mut self) {
         self.close = true;
     }
@@ -162,11 +165,11 @@
     }
 }
 
-/// Serves one connection until the peer leaves or `stop` completes; a request that has begun is
-/// always answered first.
+/// Serves one connection until the peer closes it, it stays idle, or `stop` completes. A request
+/// that has begun when `stop` completes is answered first.
 ///
 /// # Errors
-/// [`ServeError`] where the connection had to be given up.
+/// [`ServeError`] if the connection failed or a request was invalid.
 pub async fn serve<S, H, F>(
     stream: S,
     config: &ServeConfig,
@@ -183,11 +186,11 @@
     let mut conn = Connection::new(stream, config.clone());
     let mut stop = pin!(stop);
     loop {
-        let begun = match select(pin!(conn.wait()), &mut stop).await {
-            Either::Left((begun, _)) => begun,
+        let has_request = match select(pin!(conn.wait()), &mut stop).await {
+            Either::Left((has_request, _)) => has_request,
             Either::Right(((), _)) => false,
         };
-        if !begun {
+        if !has_request {
             return Ok(());
         }
         let Some(req) = conn.request().await? else {
--- a/crates/sycamore-http/src/conn/silence.rs
+++ b/crates/sycamore-http/src/conn/silence.rs
@@ -1,4 +1,4 @@
-//! Noticing that the other side of a connection is gone without a word.
+//! TCP keepalive settings that detect a peer which vanished without closing its connection.
 
 use monoio::net::TcpStream;
 use nix::sys::socket::{setsockopt, sockopt};
@@ -6,15 +6,17 @@
 use std::os::fd::AsRawFd;
 use std::time::Duration;
 
-/// When a connection that has gone silent is closed. A process that is slow, stopped or frozen keeps
-/// its connections: its kernel answers for it.
+/// TCP keepalive settings of a connection.
+///
+/// A peer process that is slow, stopped or frozen keeps its connections, because its kernel answers
+/// the probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Silence {
-    /// Time without a byte after which the other side is probed.
+    /// Time without received data after which the first probe is sent.
     pub idle: Duration,
     /// Time between two probes.
     pub interval: Duration,
-    /// Probes without an answer after which the connection is closed.
+    /// Number of unanswered probes after which the connection is closed.
     pub probes: u32,
 }
 
@@ -26,20 +28,21 @@
 }
 
 impl Silence {
-    /// Time after which a connection is closed that is silent while nothing is under way, or that
-    /// does not confirm what it is sent.
+    /// Returns the time after which the kernel closes a connection whose peer answers no probe, or
+    /// does not acknowledge sent data.
     pub fn limit(&self) -> Duration {
         self.idle + self.interval * self.probes
     }
 
-    /// Has the kernel close `stream` once it has been silent for [`Silence::limit`].
+    /// Sets the socket options on `stream`, so that the kernel closes it if the peer is silent for
+    /// [`Silence::limit`].
     ///
     /// # Errors
-    /// Where the socket does not take the options.
+    /// I/O error if the socket rejects an option.
     pub fn watch(&self, stream: &TcpStream) -> io::Result<()> {
         stream.set_tcp_keepalive(Some(self.idle), Some(self.interval), Some(self.probes))?;
-        let unconfirmed = u32::try_from(self.limit().as_millis()).unwrap_or(u32::MAX);
-        setsockopt(stream.as_raw_fd(), sockopt::TcpUserTimeout, &unconfirmed)?;
+        let user_timeout_ms = u32::try_from(self.limit().as_millis()).unwrap_or(u32::MAX);
+        setsockopt(stream.as_raw_fd(), sockopt::TcpUserTimeout, &user_timeout_ms)?;
         Ok(())
     }
 }
--- a/crates/sycamore-http/src/lib.rs
+++ b/crates/sycamore-http/src/lib.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 heads and body framing with strict checks, relayed in bounded pieces.
+//! HTTP/1.1 codec with strict head and framing checks, and bounded reading, relaying, serving and
+//! calling over `monoio` streams.
 //!
-//! [`wire`] is pure: it parses and encodes bytes and does no I/O. [`conn`] moves those bytes over
-//! any stream of `monoio`, and offers a small server and a small client for whole messages.
+//! [`wire`] parses and encodes bytes and does no I/O. [`conn`] reads and writes messages on any
+//! `monoio` stream, and has a server and a client for messages that are held in memory whole.
 
 pub mod conn;
 pub mod wire;
--- a/crates/sycamore-http/src/wire/body.rs
+++ b/crates/sycamore-http/src/wire/body.rs
@@ -1,22 +1,22 @@
-//! Bodies, decoded and encoded piece by piece.
+//! Incremental decoder and encoder of message bodies.
 
 use super::chunk::ChunkDecoder;
 use super::error::BodyError;
 use super::framing::Framing;
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// What a body decoder found at the front of its input.
+/// Result of one [`BodyDecoder::decode`] call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Piece {
-    /// Bytes of the body.
+    /// Next bytes of the body.
     Data(Bytes),
-    /// More input is needed.
+    /// The input is consumed and the body has not ended.
     Need,
-    /// The body has ended; what is left of the input belongs to the next message.
+    /// The body has ended; the rest of the input belongs to the next message.
     End,
 }
 
-/// Decodes one body.
+/// Incremental decoder of one message body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BodyDecoder(Decoding);
 
@@ -28,7 +28,7 @@
 }
 
 impl BodyDecoder {
-    /// A decoder of a body framed as `framing`.
+    /// Creates a decoder of a body framed as `framing`.
     pub fn new(framing: Framing) -> Self {
         Self(match framing {
             Framing::Empty => Decoding::Length(0),
@@ -38,10 +38,10 @@
         })
     }
 
-    /// Takes the next piece off the front of `buf`.
+    /// Removes the next piece of the body from the front of `buf`.
     ///
     /// # Errors
-    /// [`BodyError`] where the framing is broken; the connection can't be used any further.
+    /// [`BodyError`] if the framing is invalid; the connection can't be used any further.
     pub fn decode(&mut self, buf: &mut BytesMut) -> Result<Piece, BodyError> {
         match &mut self.0 {
             Decoding::Length(0) => Ok(Piece::End),
@@ -58,16 +58,17 @@
         }
     }
 
-    /// Takes note that the peer closed the connection in an orderly way, which ends a body that has
-    /// no other end. Gives whether the body is whole now; any other body was cut.
-    pub fn closed(&mut self) -> bool {
+    /// Records that the peer closed the connection in an orderly way, and returns whether the body
+    /// is complete. Only the close ends a body framed as [`Framing::UntilClose`]; another body that
+    /// has not ended is incomplete.
+    pub fn peer_closed(&mut self) -> bool {
         if let Decoding::UntilClose { closed } = &mut self.0 {
             *closed = true;
         }
         self.is_done()
     }
 
-    /// Whether the body has ended.
+    /// Returns whether the body has ended.
     pub fn is_done(&self) -> bool {
         matches!(
             self.0,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Encodes one body, and checks that it keeps to what its head announced.
+/// Incremental encoder of one message body, which checks the body's length against the framing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BodyEncoder(Encoding);
 
@@ -89,27 +90,28 @@
 }
 
 impl BodyEncoder {
-    /// An encoder of a body framed as `framing`.
+    /// Creates an encoder of a body framed as `framing`.
     pub fn new(framing: Framing) -> Self {
         Self(match framing {
             Framing::Empty => Encoding::Length(0),
             Framing::Length(bytes) => Encoding::Length(bytes),
-            // Chunks show where a body was cut, which a closed connection does not.
+            // With chunks the receiver can detect a truncated body; with a closed connection as the
+            // body's end it can't.
             Framing::Chunked | Framing::UntilClose => Encoding::Chunked,
         })
     }
 
-    /// Appends `data` to `out`.
+    /// Appends `data` in the body's framing to `out`.
     ///
     /// # Errors
-    /// [`BodyError::Excess`] where the announced length is exceeded.
+    /// [`BodyError::Excess`] if the body becomes longer than its declared length.
     pub fn encode(&mut self, data: &[u8], out: &mut BytesMut) -> Result<(), BodyError> {
         match &mut self.0 {
             Encoding::Length(left) => {
                 *left = left.checked_sub(data.len() as u64).ok_or(BodyError::Excess)?;
                 out.put_slice(data);
             }
-            // An empty chunk would end the body.
+            // A chunk of size 0 would end the body.
             Encoding::Chunked if data.is_empty() => {}
             Encoding::Chunked => {
                 out.put_slice(format!("{:x}\r\n", data.len()).as_bytes());
@@ -120,10 +122,10 @@
         Ok(())
     }
 
-    /// Appends what ends the body.
+    /// Appends the end of the body, if its framing has one, to `out`.
     ///
     /// # Errors
-    /// [`BodyError::Cut`] where less was written than announced.
+    /// [`BodyError::Cut`] if the body is shorter than its declared length.
     pub fn finish(&mut self, out: &mut BytesMut) -> Result<(), BodyError> {
         match self.0 {
             Encoding::Length(0) => Ok(()),
--- a/crates/sycamore-http/tests/conn/client.rs
+++ b/crates/sycamore-http/tests/conn/client.rs
@@ -1,4 +1,5 @@
-//! The small client: whole answers or a visible error, connections reused only when clean.
+//! Tests of the client: it returns complete responses or an error, and reuses a connection only if
+//! no unread bytes are left on it.
 
 use super::run;
 use bytes::Bytes;
@@ -8,9 +9,10 @@
 use std::time::Duration;
 use sycamore_http::{Client, ClientConfig, ClientError};
 
-/// Calls `GET /` as often as there are `answers`; each connection gets them in turn. Returns what
-/// the client made of each, and how many connections it opened.
-async fn calls(answers: Vec<&'static str>) -> (Vec<Result<String, ClientError>>, usize) {
+/// Sends `GET /` once for each of `answers`, which the server writes in turn; it closes the
+/// connection instead of writing an empty one. Returns the client's results and the number of
+/// connections that the client opened.
+async fn send_requests(answers: Vec<&'static str>) -> (Vec<Result<String, ClientError>>, usize) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let config = ClientConfig { call_time: Duration::from_millis(200), ..ClientConfig::default() };
     let client = Client::new(listener.local_addr().unwrap(), config);
@@ -52,36 +54,42 @@
 const HELLO: &str = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nbye\r\n0\r\n\r\n";
 
+// Guards against a new connection for each request after complete responses.
 #[test]
-fn a_clean_connection_is_reused() {
-    let (seen, opened) = run(calls(vec![HELLO, CHUNKED, HELLO]));
+fn connection_is_reused_after_complete_responses() {
+    let (seen, opened) = run(send_requests(vec![HELLO, CHUNKED, HELLO]));
     assert_eq!(seen, [Ok("hello".into()), Ok("bye".into()), Ok("hello".into())]);
     assert_eq!(opened, 1);
 }
 
+// Guards against taking surplus bytes, which a server sent after its response, as the response to
+// the next request on the connection.
 #[test]
-fn bytes_after_an_answer_never_reach_the_next_call() {
-    let crossed = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\n\
+fn surplus_bytes_after_a_response_never_answer_the_next_request() {
+    let surplus = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\n\
                    content-length: 5\r\n\r\ncross";
-    let (seen, opened) = run(calls(vec![crossed, HELLO]));
+    let (seen, opened) = run(send_requests(vec![surplus, HELLO]));
     assert_eq!(seen, [Ok("hello".into()), Ok("hello".into())]);
     assert_eq!(opened, 2);
 }
 
+// Guards against returning an interim (1xx) response as the final one.
 #[test]
-fn an_interim_answer_is_passed_over() {
+fn interim_response_is_skipped() {
     let interim = "HTTP/1.1 103 Early Hints\r\nlink: a\r\n\r\nHTTP/1.1 200 OK\r\n\
                    content-length: 2\r\n\r\nhi";
-    let (seen, _) = run(calls(vec![interim]));
+    let (seen, _) = run(send_requests(vec![interim]));
     assert_eq!(seen, [Ok("hi".into())]);
 }
 
+// Guards against returning a response as complete whose end can't be known: it has no length, two
+// conflicting lengths, or the connection closes before or within it.
 #[test]
-fn a_cut_or_unframed_answer_is_an_error() {
+fn response_without_a_certain_end_is_an_error() {
     let unframed = "HTTP/1.1 200 OK\r\n\r\nhello";
     let both = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\ntransfer-encoding: chunked\r\n\r\nhello";
     let cut = "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhello";
-    let (seen, _) = run(calls(vec![unframed, both, "", cut]));
+    let (seen, _) = run(send_requests(vec![unframed, both, "", cut]));
     assert_eq!(
         seen,
         [
@@ -93,8 +101,9 @@
     );
 }
 
+// Guards against an unknown effect when no connection could be opened and nothing was sent.
 #[test]
-fn no_connection_is_told_apart() {
+fn failed_connect_is_a_distinct_error() {
     let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = free.local_addr().unwrap();
     drop(free);
--- a/crates/sycamore-http/tests/conn/mod.rs
+++ b/crates/sycamore-http/tests/conn/mod.rs
@@ -1,4 +1,4 @@
-//! Messages over loopback.
+//! Tests of reading, relaying, serving and calling over loopback connections.
 
 mod client;
 mod relay;
@@ -8,14 +8,14 @@
 use monoio::{LegacyDriver, RuntimeBuilder};
 use std::future::Future;
 
-/// Runs `test` on a runtime of its own, with the driver that the daemon uses.
+/// Runs `test` on a new runtime with the driver that the daemon uses.
 pub fn run<F: Future>(test: F) -> F::Output {
     let mut runtime =
         RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().expect("runtime starts");
     runtime.block_on(test)
 }
 
-/// Both ends of a loopback connection.
+/// Opens a loopback connection and returns both ends.
 pub async fn pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/sycamore-http/tests/conn/relay.rs
+++ b/crates/sycamore-http/tests/conn/relay.rs
@@ -1,4 +1,4 @@
-//! Bodies of many megabytes pass in small pieces, and a cut one is seen.
+//! Tests of the body relay: large bodies pass unchanged, and a truncated body is an error.
 
 use super::{pair, run};
 use bytes::{Bytes, BytesMut};
@@ -8,6 +8,8 @@
 
 const PHOTO_BYTES: usize = 12 << 20;
 
+/// Sends `sent` as a body framed as `from` through the relay, which frames it as `to`. Returns the
+/// relay's result and the body that was received, which is empty if it was incomplete.
 async fn relay(sent: Vec<u8>, from: Framing, to: Framing) -> (Result<(), ReadError>, Vec<u8>) {
     let (mut near, far) = pair().await;
     let (back, front) = pair().await;
@@ -33,8 +35,9 @@
     (relayed.unwrap(), receiver.await)
 }
 
+// Guards against lost, repeated or reordered bytes in a body far larger than one read.
 #[test]
-fn a_photo_arrives_whole_under_either_framing() {
+fn large_body_is_relayed_unchanged_in_either_framing() {
     let photo: Vec<u8> = (0..PHOTO_BYTES).map(|i| (i % 251) as u8).collect();
     let length = Framing::Length(PHOTO_BYTES as u64);
     let (relayed, got) = run(relay(photo.clone(), length, length));
@@ -45,8 +48,10 @@
     assert!(got == photo);
 }
 
+// Guards against relaying a body that ends early, because its sender closed the connection, as a
+// complete shorter body.
 #[test]
-fn a_cut_body_is_an_error_and_never_a_short_whole() {
+fn truncated_body_is_an_error_and_never_a_complete_shorter_body() {
     let (relayed, got) = run(relay(vec![7; 5], Framing::Length(9), Framing::Length(9)));
     assert!(matches!(relayed, Err(ReadError::Cut)));
     assert_eq!(got, []);
@@ -56,15 +61,18 @@
     assert_eq!(got, []);
 }
 
+// Guards against refusing a body that has no length and ends when its sender closes the connection.
 #[test]
-fn a_body_without_a_length_goes_on_in_chunks_and_ends_with_its_connection() {
+fn body_without_a_length_is_relayed_in_chunks_until_its_connection_closes() {
     let (relayed, got) = run(relay(b"whole".to_vec(), Framing::UntilClose, Framing::Chunked));
     assert!(relayed.is_ok());
     assert_eq!(got, b"whole");
 }
 
+// Guards against taking a connection reset as the end of a body without a length, which would make
+// a truncated body look complete.
 #[test]
-fn a_reset_connection_does_not_end_a_body_without_a_length() {
+fn connection_reset_does_not_end_a_body_without_a_length() {
     run(async {
         let (near, far) = pair().await;
         let (read, _write) = far.into_split();
@@ -73,7 +81,7 @@
             let mut near = near;
             near.write_all(b"half".to_vec()).await.0.unwrap();
             monoio::time::sleep(std::time::Duration::from_millis(50)).await;
-            // Zero seconds of linger make the close a reset.
+            // With a linger time of zero, closing the socket resets the connection.
             let linger = nix::libc::linger { l_onoff: 1, l_linger: 0 };
             let fd = std::os::fd::AsRawFd::as_raw_fd(&near);
             nix::sys::socket::setsockopt(fd, nix::sys::socket::sockopt::Linger, &linger).unwrap();
--- a/crates/sycamore-http/tests/conn/server.rs
+++ b/crates/sycamore-http/tests/conn/server.rs
@@ -1,4 +1,4 @@
-//! The small server: answers, refusals, stop.
+//! Tests of the server: responses in order, refused requests, time limits and stopping.
 
 use super::{pair, run};
 use bytes::Bytes;
@@ -23,7 +23,8 @@
     }
 }
 
-/// Sends `bytes` to a server, ends the sending side, and returns all it answered and saw.
+/// Sends `bytes` to a server and shuts down the sending side. Returns the bytes that the server
+/// wrote, and the path and body length of each request that reached the handler.
 async fn exchange(bytes: &'static str, config: ServeConfig) -> (String, Vec<(String, usize)>) {
     let (mut near, far) = pair().await;
     let seen: Seen = Rc::default();
@@ -43,16 +44,18 @@
     (text, seen)
 }
 
+// Guards against losing or reordering requests that arrive together in one read.
 #[test]
-fn pipelined_requests_are_answered_in_turn() {
+fn pipelined_requests_are_answered_in_order() {
     let bytes = "POST /a HTTP/1.1\r\ncontent-length: 2\r\n\r\nhiGET /b HTTP/1.1\r\n\r\n";
     let (text, seen) = run(exchange(bytes, ServeConfig::default()));
     assert_eq!(text.matches("HTTP/1.1 200 OK").count(), 2, "{text}");
     assert_eq!(seen, [("/a".to_owned(), 2), ("/b".to_owned(), 0)]);
 }
 
+// Guards against request smuggling: a request with both lengths hides a second one in its body.
 #[test]
-fn a_smuggled_request_is_never_served() {
+fn smuggled_request_is_never_served() {
     let bytes = "POST /a HTTP/1.1\r\ncontent-length: 5\r\ntransfer-encoding: chunked\r\n\r\n\
                  0\r\n\r\nGET /b HTTP/1.1\r\n\r\n";
     let (text, seen) = run(exchange(bytes, ServeConfig::default()));
@@ -61,15 +64,17 @@
     assert_eq!(seen, []);
 }
 
+// Guards against a deadlock with a client that waits for 100 Continue before it sends its body.
 #[test]
-fn the_expectation_is_answered_before_the_body() {
+fn expectation_is_answered_before_the_body() {
     let bytes = "POST /a HTTP/1.1\r\nexpect: 100-continue\r\ncontent-length: 2\r\n\r\nhi";
     let (text, _) = run(exchange(bytes, ServeConfig::default()));
     assert!(text.starts_with("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"), "{text}");
 }
 
+// Guards against buffering a body above the limit, whether its length is declared or it is chunked.
 #[test]
-fn bodies_over_the_limit_are_refused_with_413() {
+fn body_over_the_limit_is_refused_with_413() {
     let config = ServeConfig { body_bytes: 4, ..ServeConfig::default() };
     let announced = "POST /a HTTP/1.1\r\ncontent-length: 5\r\n\r\nhello";
     let (text, seen) = run(exchange(announced, config.clone()));
@@ -80,8 +85,9 @@
     assert_eq!(seen, []);
 }
 
+// Guards against a connection held open by a client that never completes its request.
 #[test]
-fn a_request_that_never_ends_is_given_up() {
+fn incomplete_request_times_out_and_closes_the_connection() {
     let time = Duration::from_millis(50);
     let config = ServeConfig { message_time: time, idle_time: time, ..ServeConfig::default() };
     run(async {
@@ -94,8 +100,9 @@
     });
 }
 
+// Guards against a stop that waits for an idle connection.
 #[test]
-fn stop_ends_an_idle_connection() {
+fn stop_closes_an_idle_connection() {
     run(async {
         let (mut near, far) = pair().await;
         let handler = |_: Request<Bytes>| async { Response::new(Bytes::new()) };
