--- a/crates/sycamore-http/src/wire/chunk.rs
+++ b/crates/sycamore-http/src/wire/chunk.rs
@@ -1,39 +1,40 @@
-//! Chunked bodies (RFC 9112, section 7.1). Extensions and trailers are dropped.
+//! Decoder of chunked bodies (RFC 9112, section 7.1), which discards extensions and trailers.
 
 use super::body::Piece;
 use super::error::BodyError;
 use bytes::{Buf, BytesMut};
 
-/// Longest size line, its extensions included, in bytes.
-const MAX_SIZE_LINE: usize = 256;
-/// Most hexadecimal digits of a chunk's size.
+/// Largest chunk size line in bytes, extensions included.
+const MAX_SIZE_LINE_BYTES: usize = 256;
+/// Largest number of hexadecimal digits of a chunk size; a `u64` can't overflow.
 const MAX_SIZE_DIGITS: usize = 15;
-/// Longest trailer section, in bytes.
-const MAX_TRAILER: usize = 8 << 10;
+/// Largest trailer section in bytes.
+const MAX_TRAILER_BYTES: usize = 8 << 10;
 
-/// Decodes one chunked body.
+/// State of the decoder of one chunked body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum ChunkDecoder {
-    /// A size line comes next.
+    /// Expects the size line of the next chunk.
     Size,
-    /// This many bytes of the chunk are left.
+    /// Expects this number of bytes of the current chunk.
     Data(u64),
-    /// The CR LF after a chunk comes next.
+    /// Expects the CR LF after a chunk's data.
     DataEnd,
-    /// The trailer section, of which this many bytes were dropped.
+    /// Expects a line of the trailer section, of which this number of bytes was discarded.
     Trailer(usize),
-    /// The body has ended.
+    /// Expects nothing more: the body has ended.
     Done,
 }
 
 impl ChunkDecoder {
+    /// Removes the next piece of the body from the front of `buf`.
     pub(super) fn decode(&mut self, buf: &mut BytesMut) -> Result<Piece, BodyError> {
         loop {
             let next = match *self {
-                ChunkDecoder::Size => size_line(buf)?.map(after_size),
-                ChunkDecoder::Data(left) => return Ok(self.data(left, buf)),
-                ChunkDecoder::DataEnd => data_end(buf)?,
-                ChunkDecoder::Trailer(dropped) => trailer_line(dropped, buf)?,
+                ChunkDecoder::Size => take_size_line(buf)?.map(after_size),
+                ChunkDecoder::Data(left) => return Ok(self.take_data(left, buf)),
+                ChunkDecoder::DataEnd => take_data_end(buf)?,
+                ChunkDecoder::Trailer(discarded) => take_trailer_line(discarded, buf)?,
                 ChunkDecoder::Done => return Ok(Piece::End),
             };
             match next {
@@ -43,7 +44,7 @@
         }
     }
 
-    fn data(&mut self, left: u64, buf: &mut BytesMut) -> Piece {
+    fn take_data(&mut self, left: u64, buf: &mut BytesMut) -> Piece {
         if buf.is_empty() {
             return Piece::Need;
         }
@@ -61,8 +62,9 @@
     }
 }
 
-fn size_line(buf: &mut BytesMut) -> Result<Option<u64>, BodyError> {
-    let Some(line) = line_len(buf, MAX_SIZE_LINE, BodyError::ChunkSize)? else {
+/// Removes a size line and returns the chunk's size; `None` if the line is incomplete.
+fn take_size_line(buf: &mut BytesMut) -> Result<Option<u64>, BodyError> {
+    let Some(line) = line_len(buf, MAX_SIZE_LINE_BYTES, BodyError::ChunkSize)? else {
         return Ok(None);
     };
     let digits = buf[..line].split(|&byte| byte == b';').next().unwrap_or_default();
@@ -81,7 +83,8 @@
     })
 }
 
-fn data_end(buf: &mut BytesMut) -> Result<Option<ChunkDecoder>, BodyError> {
+/// Removes the CR LF after a chunk's data and returns the next state; `None` if it is incomplete.
+fn take_data_end(buf: &mut BytesMut) -> Result<Option<ChunkDecoder>, BodyError> {
     let seen = buf.len().min(2);
     if buf[..seen] != b"\r\n"[..seen] {
         return Err(BodyError::ChunkEnd);
@@ -93,26 +96,31 @@
     Ok(Some(ChunkDecoder::Size))
 }
 
-fn trailer_line(dropped: usize, buf: &mut BytesMut) -> Result<Option<ChunkDecoder>, BodyError> {
-    let allowed = MAX_TRAILER - dropped;
+/// Removes a trailer line and returns the next state; `None` if the line is incomplete.
+fn take_trailer_line(
+    discarded: usize,
+    buf: &mut BytesMut,
+) -> Result<Option<ChunkDecoder>, BodyError> {
+    let allowed = MAX_TRAILER_BYTES - discarded;
     let Some(line) = line_len(buf, allowed, BodyError::Trailer)? else {
         return Ok(None);
     };
     buf.advance(line + 2);
     Ok(Some(match line {
         0 => ChunkDecoder::Done,
-        line => ChunkDecoder::Trailer(MAX_TRAILER.min(dropped + line + 2)),
+        line => ChunkDecoder::Trailer(MAX_TRAILER_BYTES.min(discarded + line + 2)),
     }))
 }
 
-/// Length of the line at the front of `buf`, without its CR LF; `None` where it has not ended.
-fn line_len(buf: &[u8], most: usize, err: BodyError) -> Result<Option<usize>, BodyError> {
+/// Returns the length of the line at the front of `buf` without its CR LF; `None` if the line is
+/// incomplete, and `err` if it is longer than `max` bytes or has a bare CR or LF.
+fn line_len(buf: &[u8], max: usize, err: BodyError) -> Result<Option<usize>, BodyError> {
     match buf.iter().position(|&byte| byte == b'\n') {
         Some(0) => Err(err),
-        Some(lf) if buf[lf - 1] != b'\r' || lf - 1 > most => Err(err),
+        Some(lf) if buf[lf - 1] != b'\r' || lf - 1 > max => Err(err),
         Some(lf) if buf[..lf - 1].contains(&b'\r') => Err(err),
         Some(lf) => Ok(Some(lf - 1)),
-        None if buf.len() > most + 1 => Err(err),
+        None if buf.len() > max + 1 => Err(err),
         None => Ok(None),
     }
 }
--- a/crates/sycamore-http/src/wire/error.rs
+++ b/crates/sycamore-http/src/wire/error.rs
@@ -1,37 +1,37 @@
-//! What can be wrong with a message.
+//! Errors of parsing and encoding message heads and bodies.
 
 use http::StatusCode;
 use std::fmt;
 
-/// Why a head is refused.
+/// Error of a message head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeadError {
-    /// The head is longer than the limit.
+    /// The head has more bytes than [`HeadLimits::bytes`](super::HeadLimits::bytes).
     TooLarge,
-    /// The head has more fields than the parser takes.
+    /// The head has more fields than the parser accepts.
     TooManyFields,
-    /// The head is no HTTP.
+    /// The head does not follow the syntax of HTTP/1.1.
     Malformed,
-    /// The version is neither 1.0 nor 1.1.
+    /// The HTTP version is neither 1.0 nor 1.1.
     Version,
     /// The request target is not in origin form, such as `/tickets?id=7`.
     Target,
-    /// Both `content-length` and `transfer-encoding` are given: a request smuggling form.
+    /// The head has both `content-length` and `transfer-encoding`, as in request smuggling.
     BothLengths,
-    /// More than one length is given.
+    /// The head has more than one `content-length` value.
     ManyLengths,
-    /// The length is not a plain decimal number.
+    /// The value of `content-length` is not a plain decimal number.
     BadLength,
-    /// The transfer coding is not `chunked` alone.
+    /// The value of `transfer-encoding` is not `chunked` alone.
     Coding,
-    /// A response gives no length where a whole message is asked for.
+    /// A response to a [`Client`](crate::Client), which needs one, has no length.
     Unframed,
     /// A response switches to another protocol.
     Upgrade,
 }
 
 impl HeadError {
-    /// The status that answers a request with this fault.
+    /// Returns the status with which to answer a request that has this error.
     pub fn status(self) -> StatusCode {
         match self {
             HeadError::TooLarge | HeadError::TooManyFields => {
@@ -46,46 +46,48 @@
 impl fmt::Display for HeadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            HeadError::TooLarge => "head is too large",
+            HeadError::TooLarge => "head is larger than the limit",
             HeadError::TooManyFields => "head has too many fields",
-            HeadError::Malformed => "head is malformed",
-            HeadError::Version => "version is not supported",
-            HeadError::Target => "request target is not in origin form",
-            HeadError::BothLengths => "both content-length and transfer-encoding are given",
-            HeadError::ManyLengths => "more than one content-length is given",
+            HeadError::Malformed => "syntax is not HTTP/1.1",
+            HeadError::Version => "HTTP version is neither 1.0 nor 1.1",
+            HeadError::Target => "request target is not in origin form, such as /path?query",
+            HeadError::BothLengths => "both content-length and transfer-encoding are present",
+            HeadError::ManyLengths => "more than one content-length is present",
             HeadError::BadLength => "content-length is not a decimal number",
-            HeadError::Coding => "transfer-encoding is not chunked",
-            HeadError::Unframed => "response gives no length",
-            HeadError::Upgrade => "response switches protocols",
+            HeadError::Coding => "transfer-encoding is not chunked alone",
+            HeadError::Unframed => "response has neither content-length nor transfer-encoding",
+            HeadError::Upgrade => "response switches to another protocol",
         })
     }
 }
 
 impl std::error::Error for HeadError {}
 
-/// Why a body is refused.
+/// Error of a message body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// A chunk's size line is no hexadecimal number, or too long.
+    /// The size line of a chunk is not a hexadecimal number or is too long.
     ChunkSize,
-    /// A chunk is not ended by CR LF.
+    /// The data of a chunk is not followed by CR LF.
     ChunkEnd,
-    /// The trailer section is too long or malformed.
+    /// The trailer section is malformed or too long.
     Trailer,
-    /// The stream ended before the body did.
+    /// The body is shorter than its declared length.
     Cut,
-    /// More was written than the length announced.
+    /// The body is longer than its declared length.
     Excess,
 }
 
 impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BodyError::ChunkSize => "chunk size is malformed",
-            BodyError::ChunkEnd => "chunk is not ended by CR LF",
+            BodyError::ChunkSize => {
+                "chunk size is not a hexadecimal number or its line is too long"
+            }
+            BodyError::ChunkEnd => "chunk data is not followed by CR LF",
             BodyError::Trailer => "trailer section is malformed or too long",
-            BodyError::Cut => "body was cut",
-            BodyError::Excess => "body is longer than announced",
+            BodyError::Cut => "body is shorter than its declared length",
+            BodyError::Excess => "body is longer than its declared length",
         })
     }
 }
--- a/crates/sycamore-http/src/wire/framing.rs
+++ b/crates/sycamore-http/src/wire/framing.rs
@@ -1,39 +1,39 @@
-//! How the end of a body is found (RFC 9112, section 6), in its strict reading.
+//! Body framing of messages (RFC 9112, section 6); rejects all ambiguous forms.
 
 use super::error::HeadError;
 use super::head::{RequestHead, ResponseHead};
 use http::{header, HeaderMap, Method, StatusCode, Version};
 
-/// Most digits of a `content-length`.
+/// Largest number of digits of a `content-length`; a `u64` can't overflow.
 const MAX_LENGTH_DIGITS: usize = 18;
 
-/// How the end of a body is found.
+/// Framing of a message body, which determines where the body ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// There is no body.
+    /// No body.
     Empty,
-    /// The body has this many bytes.
+    /// Body of this number of bytes (`content-length`).
     Length(u64),
-    /// The body comes in chunks.
+    /// Body in chunks (`transfer-encoding: chunked`).
     Chunked,
-    /// The body ends where its connection is closed; only a response's may (RFC 9112, section 6.3).
+    /// Body that ends when the connection is closed; responses only (RFC 9112, section 6.3).
     UntilClose,
 }
 
-/// The framing of a request's body.
+/// Returns the framing of the body of the request with this head.
 ///
 /// # Errors
-/// [`HeadError`] for every form that two parsers may read differently.
+/// [`HeadError`] for every form that two parsers may interpret differently.
 pub fn request_framing(head: &RequestHead) -> Result<Framing, HeadError> {
-    Ok(declared(&head.headers, head.version)?.unwrap_or(Framing::Empty))
+    Ok(declared_framing(&head.headers, head.version)?.unwrap_or(Framing::Empty))
 }
 
-/// The framing of the body of a response to a request with `method`.
+/// Returns the framing of the body of a response to a request with `method`.
 ///
 /// # Errors
-/// [`HeadError`] as for requests, and for a response that switches protocols.
+/// The errors of [`request_framing`], and [`HeadError::Upgrade`] if the response switches protocols.
 pub fn response_framing(head: &ResponseHead, method: &Method) -> Result<Framing, HeadError> {
-    let framing = declared(&head.headers, head.version)?;
+    let framing = declared_framing(&head.headers, head.version)?;
     if head.status == StatusCode::SWITCHING_PROTOCOLS {
         return Err(HeadError::Upgrade);
     }
@@ -50,9 +50,10 @@
         || status == StatusCode::NOT_MODIFIED
 }
 
-fn declared(headers: &HeaderMap, version: Version) -> Result<Option<Framing>, HeadError> {
-    let chunked = chunked(headers, version)?;
-    let length = length(headers)?;
+/// Returns the framing in the header fields; `None` if they declare none.
+fn declared_framing(headers: &HeaderMap, version: Version) -> Result<Option<Framing>, HeadError> {
+    let chunked = is_chunked(headers, version)?;
+    let length = content_length(headers)?;
     match (chunked, length) {
         (true, Some(_)) => Err(HeadError::BothLengths),
         (true, None) => Ok(Some(Framing::Chunked)),
@@ -61,7 +62,7 @@
     }
 }
 
-fn chunked(headers: &HeaderMap, version: Version) -> Result<bool, HeadError> {
+fn is_chunked(headers: &HeaderMap, version: Version) -> Result<bool, HeadError> {
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     let Some(coding) = codings.next() else {
         return Ok(false);
@@ -73,7 +74,7 @@
     Err(HeadError::Coding)
 }
 
-fn length(headers: &HeaderMap) -> Result<Option<u64>, HeadError> {
+fn content_length(headers: &HeaderMap) -> Result<Option<u64>, HeadError> {
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
     let Some(length) = lengths.next() else {
         return Ok(None);
--- a/crates/sycamore-http/src/wire/head.rs
+++ b/crates/sycamore-http/src/wire/head.rs
@@ -1,7 +1,7 @@
-//! Heads: request line or status line, and fields.
+//! Parser and encoder of message heads: request line or status line, and header fields.
 //!
-//! The decoder of `monoio-http` parses; the checks around it refuse what it reads too kindly (bare
-//! line feeds, any size) before it sees a byte.
+//! The decoder of `monoio-http` accepts bare line feeds and heads of any size. The checks here
+//! reject both before the decoder gets the bytes.
 
 use super::error::HeadError;
 use super::framing::Framing;
@@ -10,22 +10,23 @@
 use monoio_codec::{Decoded, Decoder};
 use monoio_http::h1::codec::decoder::{DecodeError, RequestHeadDecoder, ResponseHeadDecoder};
 
-/// A request's method, target, version and fields.
+/// Method, target, version and header fields of a request.
 pub type RequestHead = http::request::Parts;
-/// A response's status, version and fields.
+/// Status, version and header fields of a response.
 pub type ResponseHead = http::response::Parts;
 
+/// Last line end of a head and the empty line after it.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Limits of a head.
+/// Limits of a message head.
 #[derive(Debug, Clone)]
 pub struct HeadLimits {
-    /// Most bytes, the empty line included.
+    /// Largest size in bytes, the empty line included.
     pub bytes: usize,
 }
 
 impl HeadLimits {
-    /// The limits that [`HeadLimits::default`] gives.
+    /// Limits of [`HeadLimits::default`], for constant contexts.
     pub const DEFAULT: HeadLimits = HeadLimits { bytes: 16 << 10 };
 }
 
@@ -35,10 +36,11 @@
     }
 }
 
-/// Takes a request's head off the front of `buf`; `None` where it is not whole yet.
+/// Removes a request head from the front of `buf`; `None` if the head is incomplete.
 ///
 /// # Errors
-/// [`HeadError`] where the head is refused; the connection can't be used any further.
+/// [`HeadError`] if the head is invalid or exceeds `limits`; the connection can't be used any
+/// further.
 pub fn parse_request(
     buf: &mut BytesMut,
     limits: &HeadLimits,
@@ -46,7 +48,7 @@
     while buf.starts_with(b"\r\n") {
         buf.advance(2);
     }
-    if !is_whole(buf, limits)? {
+    if !is_complete(buf, limits)? {
         return Ok(None);
     }
     let head = decode(RequestHeadDecoder, buf)?;
@@ -62,21 +64,23 @@
     Ok(Some(head))
 }
 
-/// Takes a response's head off the front of `buf`; `None` where it is not whole yet.
+/// Removes a response head from the front of `buf`; `None` if the head is incomplete.
 ///
 /// # Errors
-/// [`HeadError`] where the head is refused; the connection can't be used any further.
+/// [`HeadError`] if the head is invalid or exceeds `limits`; the connection can't be used any
+/// further.
 pub fn parse_response(
     buf: &mut BytesMut,
     limits: &HeadLimits,
 ) -> Result<Option<ResponseHead>, HeadError> {
-    if !is_whole(buf, limits)? {
+    if !is_complete(buf, limits)? {
         return Ok(None);
     }
     decode(ResponseHeadDecoder, buf).map(Some)
 }
 
-fn is_whole(buf: &[u8], limits: &HeadLimits) -> Result<bool, HeadError> {
+/// Returns whether `buf` holds a complete head, and checks the size and the line ends of the head.
+fn is_complete(buf: &[u8], limits: &HeadLimits) -> Result<bool, HeadError> {
     let Some(at) = buf.windows(HEAD_END.len()).position(|window| window == HEAD_END) else {
         if buf.len() >= limits.bytes {
             return Err(HeadError::TooLarge);
@@ -91,8 +95,8 @@
     Ok(true)
 }
 
-/// Every LF must follow a CR and every CR precede an LF: the parser would take a bare LF as a line's
-/// end, where another reads on.
+/// Checks that every LF follows a CR and every CR precedes an LF. The decoder takes a bare LF as a
+/// line end, but other parsers don't, so that the two could see different requests.
 fn check_line_ends(head: &[u8]) -> Result<(), HeadError> {
     let mut before = 0;
     for &byte in head {
@@ -116,8 +120,8 @@
     }
 }
 
-/// The parser's error type is not exported through `monoio-http`, so its text tells the two kinds
-/// apart that have a status of their own.
+/// Maps the text of a parser error to the two kinds that are answered with a status other than 400.
+/// `monoio-http` does not export the parser's error type, so only the text distinguishes them.
 fn parse_error(text: &str) -> HeadError {
     match text {
         "too many headers" => HeadError::TooManyFields,
@@ -126,7 +130,7 @@
     }
 }
 
-/// Appends a request's head to `out`, framed as `framing`.
+/// Appends a request head to `out` with the header fields of `framing`.
 pub fn encode_request(head: &RequestHead, framing: Framing, out: &mut BytesMut) {
     out.put_slice(head.method.as_str().as_bytes());
     out.put_u8(b' ');
@@ -136,7 +140,7 @@
     encode_fields(&head.headers, framing, out);
 }
 
-/// Appends a response's head to `out`, framed as `framing`.
+/// Appends a response head to `out` with the header fields of `framing`.
 pub fn encode_response(head: &ResponseHead, framing: Framing, out: &mut BytesMut) {
     out.put_slice(b"HTTP/1.1 ");
     out.put_slice(head.status.as_str().as_bytes());
--- a/crates/sycamore-http/src/wire/hop.rs
+++ b/crates/sycamore-http/src/wire/hop.rs
@@ -1,7 +1,8 @@
-//! Fields that concern one connection only (RFC 9110, section 7.6.1).
+//! Connection-specific header fields (RFC 9110, section 7.6.1).
 
 use http::{header, HeaderMap, HeaderName, HeaderValue, Version};
 
+/// Header fields that an intermediary must not forward. `transfer-encoding` is left to the encoder.
 const HOP_BY_HOP: [HeaderName; 6] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -11,8 +12,8 @@
     header::UPGRADE,
 ];
 
-/// Removes the fields that concern the connection on which they came, and those that `connection`
-/// names. The framing fields stay: the encoder replaces them.
+/// Removes the connection-specific fields and those that the `connection` field names. The framing
+/// fields are kept, because the encoder replaces them.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     for name in named_by_connection(headers) {
         if name != header::CONTENT_LENGTH && name != header::TRANSFER_ENCODING {
@@ -39,7 +40,7 @@
         .map(str::trim)
 }
 
-/// Whether the sender closes the connection after this message.
+/// Returns whether the sender of a message closes the connection after it.
 pub fn wants_close(headers: &HeaderMap, version: Version) -> bool {
     let has = |wanted| connection_tokens(headers).any(|token| token.eq_ignore_ascii_case(wanted));
     match version {
@@ -48,7 +49,7 @@
     }
 }
 
-/// Whether the sender waits for an interim answer before it sends the body.
+/// Returns whether the client waits for a 100 Continue response before it sends the body.
 pub fn expects_continue(headers: &HeaderMap) -> bool {
     let is_continue = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"100-continue");
     headers.get(header::EXPECT).is_some_and(is_continue)
--- a/crates/sycamore-http/src/wire/mod.rs
+++ b/crates/sycamore-http/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Parsing and encoding of bytes; no I/O.
+//! Parser and encoder of HTTP/1.1 messages in memory, without I/O.
 
 mod body;
 mod chunk;
@@ -16,5 +16,5 @@
 };
 pub use hop::{expects_continue, strip_hop_by_hop, wants_close};
 
-/// The interim answer to a request that expects it.
+/// Interim response to a request with `expect: 100-continue`.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
--- a/crates/sycamore-http/tests/all.rs
+++ b/crates/sycamore-http/tests/all.rs
@@ -1,4 +1,4 @@
-//! Tests of the HTTP codec, in the order of its modules.
+//! Tests of the HTTP codec and of its connections, one module per module of the crate.
 #![allow(clippy::unwrap_used)]
 
 mod conn;
--- a/crates/sycamore-http/tests/wire/head.rs
+++ b/crates/sycamore-http/tests/wire/head.rs
@@ -1,4 +1,5 @@
-//! Heads: what is taken, and what two parsers may read differently is refused.
+//! Tests of the head parser and encoder: valid heads are accepted, and heads that two parsers may
+//! interpret differently are refused.
 
 use bytes::BytesMut;
 use http::{Method, StatusCode};
@@ -9,6 +10,7 @@
 };
 use sycamore_http::{Framing, HeadError, HeadLimits};
 
+/// Parses a request head and returns its framing; `None` if the head is incomplete.
 fn request(bytes: &str) -> Result<Option<Framing>, HeadError> {
     let mut buf = BytesMut::from(bytes);
     match parse_request(&mut buf, &HeadLimits::default())? {
@@ -17,18 +19,21 @@
     }
 }
 
+/// Parses the head of a response to `method` and returns its framing.
 fn response(bytes: &str, method: &Method) -> Result<Framing, HeadError> {
     let mut buf = BytesMut::from(bytes);
-    let head = parse_response(&mut buf, &HeadLimits::default())?.expect("head is whole");
+    let head = parse_response(&mut buf, &HeadLimits::default())?.expect("head is complete");
     response_framing(&head, method)
 }
 
+/// Parses the head of a POST request with `fields` and returns its framing.
 fn post(fields: &str) -> Result<Option<Framing>, HeadError> {
     request(&format!("POST /intake HTTP/1.1\r\nhost: a\r\n{fields}\r\n"))
 }
 
+// Guards against refusing a valid request or reading a wrong framing from it.
 #[test]
-fn plain_requests_are_taken() {
+fn valid_requests_are_accepted() {
     assert_eq!(post(""), Ok(Some(Framing::Empty)));
     assert_eq!(post("content-length: 3\r\n"), Ok(Some(Framing::Length(3))));
     assert_eq!(post("Transfer-Encoding: Chunked\r\n"), Ok(Some(Framing::Chunked)));
@@ -36,6 +41,8 @@
     assert_eq!(request("GET / HTTP/1.1\r\nhost: a\r\n"), Ok(None));
 }
 
+// Guards against request smuggling: two parsers on the path that read these lengths, codings or
+// lines differently see different requests.
 #[test]
 fn smuggling_forms_are_refused_with_400() {
     let cases = [
@@ -61,14 +68,16 @@
     }
 }
 
+// Guards against request smuggling with bare line feeds, which end a line for some parsers only.
 #[test]
 fn bare_line_feeds_do_not_hide_a_second_request() {
     let bytes = "GET /a HTTP/1.1\nhost: a\n\nGET /b HTTP/1.1\r\nhost: a\r\n\r\n";
     assert_eq!(request(bytes), Err(HeadError::Malformed));
 }
 
+// Guards against accepting proxy forms of the target, unknown versions, or chunks in HTTP/1.0.
 #[test]
-fn targets_and_versions_are_checked() {
+fn unsupported_targets_and_versions_are_refused() {
     assert_eq!(request("GET http://b/ HTTP/1.1\r\n\r\n"), Err(HeadError::Target));
     assert_eq!(request("OPTIONS * HTTP/1.1\r\n\r\n"), Err(HeadError::Target));
     assert_eq!(request("CONNECT b:1 HTTP/1.1\r\n\r\n"), Err(HeadError::Target));
@@ -77,6 +86,8 @@
     assert_eq!(request(old), Err(HeadError::Coding));
 }
 
+// Guards against buffering a head without limit, complete or not, and against a wrong status for a
+// head with too many fields.
 #[test]
 fn large_heads_are_refused_with_431() {
     let limit = HeadLimits::default().bytes;
@@ -90,8 +101,10 @@
     }
 }
 
+// Guards against a wrong end of a response's body, which depends on the status, the request's method
+// and the length, and against accepting a protocol switch.
 #[test]
-fn a_response_without_a_length_ends_with_its_connection() {
+fn response_framing_depends_on_status_method_and_length() {
     let get = Method::GET;
     let taken = response("HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\n", &get);
     assert_eq!(taken, Ok(Framing::Length(7)));
@@ -106,8 +119,9 @@
     assert_eq!(response(both, &get), Err(HeadError::ManyLengths));
 }
 
+// Guards against a relayed head with both lengths, when its body is framed anew.
 #[test]
-fn the_encoder_writes_one_framing_only() {
+fn encoded_head_has_one_framing_only() {
     let mut buf = BytesMut::from(
         "POST /a?b=c HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\naccept: */*\r\n\r\n",
     );
@@ -120,8 +134,9 @@
     assert!(text.contains("transfer-encoding: chunked\r\n"), "{text}");
 }
 
+// Guards against dropping the length from the response to a HEAD request, which has no body.
 #[test]
-fn a_head_response_keeps_its_length_field() {
+fn response_to_head_keeps_its_content_length() {
     let mut buf = BytesMut::from("HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\n");
     let head = parse_response(&mut buf, &HeadLimits::default()).unwrap().unwrap();
     let mut out = BytesMut::new();
@@ -129,8 +144,9 @@
     assert_eq!(&out[..], b"HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\n");
 }
 
+// Guards against a panic of the parser on any byte in a field's name or value.
 #[test]
-fn every_byte_in_a_field_is_taken_or_refused() {
+fn any_byte_in_a_field_is_accepted_or_refused_without_panic() {
     for byte in 0..=u8::MAX {
         for (before, after) in [("x", "y: z"), ("x: y", "z")] {
             let mut buf = BytesMut::from("GET / HTTP/1.1\r\n");
@@ -144,6 +160,7 @@
 }
 
 quickcheck! {
+    // Guards against a panic of the head parsers on arbitrary bytes.
     fn arbitrary_bytes_never_panic(bytes: Vec<u8>) -> bool {
         let mut buf = BytesMut::from(&bytes[..]);
         drop(parse_request(&mut buf, &HeadLimits::default()));
@@ -152,6 +169,7 @@
         true
     }
 
+    // Guards against a panic on arbitrary bytes in a well-formed frame of target, name and value.
     fn arbitrary_fields_never_panic(name: Vec<u8>, value: Vec<u8>, target: Vec<u8>) -> bool {
         let mut buf = BytesMut::from("GET /");
         buf.extend_from_slice(&target);
@@ -166,7 +184,8 @@
         true
     }
 
-    fn a_head_is_read_the_same_however_it_is_split(cut: usize) -> bool {
+    // Guards against a head that is refused or left unread because it arrives in two reads.
+    fn head_is_parsed_the_same_wherever_it_is_split(cut: usize) -> bool {
         let bytes = b"PUT /photo/1 HTTP/1.1\r\nhost: a\r\ncontent-length: 12\r\n\r\n";
         let cut = cut % bytes.len();
         let mut buf = BytesMut::from(&bytes[..cut]);
--- a/crates/sycamore-http/tests/wire/hop.rs
+++ b/crates/sycamore-http/tests/wire/hop.rs
@@ -1,4 +1,4 @@
-//! Fields of one connection do not travel on.
+//! Tests of the connection-specific header fields.
 
 use http::{HeaderMap, HeaderName, HeaderValue, Version};
 use sycamore_http::wire::{expects_continue, strip_hop_by_hop, wants_close};
@@ -10,8 +10,10 @@
         .collect()
 }
 
+// Guards against forwarding a field that concerns one connection, and against removing a framing
+// field because `connection` names it.
 #[test]
-fn hop_by_hop_fields_are_removed() {
+fn hop_by_hop_fields_are_removed_and_framing_fields_kept() {
     let mut headers = fields(&[
         ("connection", "keep-alive, X-Only-Here, content-length"),
         ("keep-alive", "timeout=5"),
@@ -27,8 +29,10 @@
     assert_eq!(left, ["accept", "content-length"]);
 }
 
+// Guards against a wrong default persistence: HTTP/1.1 connections stay open, 1.0 ones are closed,
+// unless the `connection` field says otherwise.
 #[test]
-fn persistence_follows_the_version() {
+fn connection_persistence_depends_on_the_version() {
     let none = fields(&[]);
     let close = fields(&[("connection", "foo, Close")]);
     let keep = fields(&[("connection", "Keep-Alive")]);
@@ -38,8 +42,9 @@
     assert!(!wants_close(&keep, Version::HTTP_10));
 }
 
+// Guards against missing an `expect` field in another letter case.
 #[test]
-fn the_expectation_is_seen() {
+fn expect_continue_is_detected_in_any_letter_case() {
     assert!(expects_continue(&fields(&[("expect", "100-Continue")])));
     assert!(!expects_continue(&fields(&[])));
 }
--- a/crates/sycamore-http/tests/wire/mod.rs
+++ b/crates/sycamore-http/tests/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Parsing and encoding of bytes.
+//! Tests of parsing and encoding message heads and bodies.
 
 mod body;
 mod head;
