--- a/crates/sycamore-settings/src/calls.rs
+++ b/crates/sycamore-settings/src/calls.rs
@@ -1,77 +1,81 @@
-//! `[calls]`: routing, admission and retries.
+//! Section `[calls]`: settings of routing, admission and retries of calls.
 
 use crate::unit::{Size, Span};
 use serde::{Deserialize, Serialize};
 use serde_with::{serde_as, DisplayFromStr, NoneAsEmptyString};
 use std::time::Duration;
 
-/// Memory that the request body of one exchange counts for, in bytes: its first part, of up to
-/// 32 KiB and a piece, a copy of that on its way out, and the pieces of the relay.
+/// Memory reserved for the request body of one exchange, in bytes.
+///
+/// The reservation covers the first part of the body (up to 32 KiB and one read), a copy of it while
+/// it is sent, and the reads of the relay.
 pub const EXCHANGE_BYTES: u64 = 128 << 10;
 
-/// How the number of calls that run at a time follows the upstream.
+/// Algorithm that adapts the concurrency limit to the upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LimitPolicy {
-    /// The declared slots, always.
+    /// Constant limit: the slots that the upstream declares.
     Fixed,
-    /// Additive increase while all is well, multiplicative decrease on refusals and timeouts.
+    /// Additive increase while calls succeed, multiplicative decrease on refusals and timeouts.
     #[default]
     Aimd,
-    /// The ratio of the long to the short mean latency scales it.
+    /// Limit scaled by the ratio of the long-term to the short-term mean latency.
     Gradient,
 }
 
-/// Routing, admission and retries.
+/// Settings of routing, admission and retries of calls, section `[calls]`.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Calls {
-    /// Nodes that a call may pass.
+    /// Largest number of nodes on the path of a call, at least 1.
     #[serde_as(as = "DisplayFromStr")]
     pub hop_limit: u8,
-    /// Connections accepted from one address.
+    /// Largest number of connections accepted from one IP address.
     #[serde_as(as = "DisplayFromStr")]
     pub connections_per_address: u32,
-    /// Time a caller has to send a request's head.
+    /// Longest time that a caller may take to send the head of a request.
     #[serde_as(as = "Span")]
     pub head_timeout: Duration,
-    /// Memory that all request bodies under way may take, [`EXCHANGE_BYTES`] each; exchanges that
-    /// relay to another node may take half of it.
+    /// Memory limit for the request bodies of all concurrent exchanges, which reserve
+    /// [`EXCHANGE_BYTES`] each. Exchanges that relay to another node may use half of it.
     #[serde_as(as = "Size")]
     pub body_memory: u64,
-    /// Time that a drain waits for calls in flight before the node stops all the same.
+    /// Longest time that a drain waits for calls in flight before the node stops without them.
     #[serde_as(as = "Span")]
     pub drain_timeout: Duration,
-    /// Time for which a node that was told to stop still takes new calls, while callers move on.
+    /// Time for which a draining node still accepts new calls, while callers switch to other nodes.
     #[serde_as(as = "Span")]
     pub drain_notice: Duration,
-    /// Allow the upstream's listener on an address other than loopback.
+    /// Whether the upstream's listener may have an address other than loopback, which programs other
+    /// than the upstream on the node's instance may reach.
     #[serde_as(as = "DisplayFromStr")]
     pub upstream_beyond_loopback: bool,
-    /// Shortest time after which a caller that was refused for load is asked to come back.
+    /// Shortest retry delay that a caller is given when its call is refused for overload.
     #[serde_as(as = "Span")]
     pub min_retry_after: Duration,
-    /// Refusals for load after which a call goes to another upstream that is known to have room,
-    /// without using the retry budget.
+    /// Largest number of refusals for overload after which a call is sent to another upstream with
+    /// known free capacity without using the retry budget.
     #[serde_as(as = "DisplayFromStr")]
     pub free_reroutes: u8,
-    /// Retries that all nodes together may save up towards a service, on top of its budget's part of
-    /// the calls; ten a node where it is empty.
+    /// Largest number of retries to a service that all nodes together may accumulate, in addition to
+    /// the percentage of calls in the service's retry budget; `None` allows ten per node.
     #[serde_as(as = "NoneAsEmptyString")]
     pub fleet_retries_saved: Option<u32>,
-    /// How the number of calls that run at a time follows the upstream.
+    /// Algorithm that adapts the concurrency limit to the upstream.
     pub limit_policy: LimitPolicy,
-    /// Time that a request stays quarantined.
+    /// Time for which a request that crashes upstreams is refused.
     #[serde_as(as = "Span")]
     pub quarantine: Duration,
-    /// Time that an idempotency key is remembered after its call; a new owner of a key answers
-    /// "unknown" for as long and [`Calls::view_lag`] where the old one can't be asked. So is a call
-    /// answered that may have been under way for longer than half of it: callers repeat a call
-    /// within the other half.
+    /// Time for which an idempotency key is remembered after its call.
+    ///
+    /// A new owner of a key answers "unknown" for this time plus [`Calls::view_lag`] if it can't ask
+    /// the old owner. A call that may have been in flight for longer than half of this time is
+    /// answered "unknown" too; the other half is left for callers to repeat a call.
     #[serde_as(as = "Span")]
     pub key_memory: Duration,
-    /// Longest time for which nodes may differ about who is a member.
+    /// Longest time for which two nodes may have different views of the membership.
     #[serde_as(as = "Span")]
     pub view_lag: Duration,
 }
--- a/crates/sycamore-settings/src/check.rs
+++ b/crates/sycamore-settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks across keys and sections.
+//! Checks of settings against limits and against other keys and sections.
 
 use crate::calls::EXCHANGE_BYTES;
 use crate::operator::MIN_TOKEN_BYTES;
@@ -7,24 +7,24 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Two settings that cannot both hold.
+/// Setting that is out of range or contradicts another setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Contradiction {
-    /// The section of the key to change.
+    /// Section of the key to change.
     pub section: &'static str,
-    /// The key to change.
+    /// Key to change.
     pub key: &'static str,
-    /// What is wrong, in a sentence.
+    /// Description of the problem and of the expected value.
     pub problem: String,
 }
 
-/// Every contradiction in `settings`.
+/// Returns all contradictions in `settings`.
 pub fn contradictions(settings: &Settings) -> Vec<Contradiction> {
     let mut found = Vec::new();
-    shared_addresses(settings, &mut found);
-    operator_access(settings, &mut found);
-    timing(settings, &mut found);
-    memory(settings, &mut found);
+    check_listen_addresses(settings, &mut found);
+    check_access(settings, &mut found);
+    check_timing_and_rates(settings, &mut found);
+    check_body_memory(settings, &mut found);
     found
 }
 
@@ -37,7 +37,7 @@
     found.push(Contradiction { section, key, problem: problem.into() });
 }
 
-fn shared_addresses(settings: &Settings, found: &mut Vec<Contradiction>) {
+fn check_listen_addresses(settings: &Settings, found: &mut Vec<Contradiction>) {
     let listen = &settings.listen;
     let listeners = [
         ("caller", listen.caller),
@@ -50,31 +50,40 @@
     let mut seen: BTreeMap<SocketAddr, &str> = BTreeMap::new();
     for (key, addr) in listeners.into_iter().chain(ready) {
         if addr.port() == 0 {
-            add(found, "listen", key, "port 0 can't be found by others");
+            let problem = format!("{addr} has port 0; a fixed port is needed to connect to it");
+            add(found, "listen", key, problem);
         }
         if let Some(other) = seen.insert(addr, key) {
-            add(found, "listen", key, format!("{addr} is already the {other} listener's"));
+            add(found, "listen", key, format!("{addr} is already used by the {other} listener"));
         }
     }
 }
 
-fn operator_access(settings: &Settings, found: &mut Vec<Contradiction>) {
+fn check_access(settings: &Settings, found: &mut Vec<Contradiction>) {
     let operator = &settings.operator;
     if !operator.beyond_loopback && !settings.listen.operator.ip().is_loopback() {
-        let problem = "is beyond loopback; set beyond_loopback = true in [operator] to allow it";
+        let addr = settings.listen.operator;
+        let problem = format!(
+            "{addr} is not a loopback address; set beyond_loopback = true in [operator] to allow it"
+        );
         add(found, "listen", "operator", problem);
     }
-    let open = settings.calls.upstream_beyond_loopback;
-    if !open && !settings.listen.upstream.ip().is_loopback() {
-        add(found, "listen", "upstream", "must be a loopback address: only the upstream beside it");
+    let allowed = settings.calls.upstream_beyond_loopback;
+    if !allowed && !settings.listen.upstream.ip().is_loopback() {
+        let addr = settings.listen.upstream;
+        let problem = format!(
+            "{addr} is not a loopback address; set upstream_beyond_loopback = true in [calls] to \
+             allow it"
+        );
+        add(found, "listen", "upstream", problem);
     }
     if !operator.token.is_empty() && operator.token.len() < MIN_TOKEN_BYTES {
-        let problem = format!("is shorter than {MIN_TOKEN_BYTES} bytes");
+        let problem = format!("must have at least {MIN_TOKEN_BYTES} bytes");
         add(found, "operator", "token", problem);
     }
 }
 
-fn timing(settings: &Settings, found: &mut Vec<Contradiction>) {
+fn check_timing_and_rates(settings: &Settings, found: &mut Vec<Contradiction>) {
     let peers = &settings.peers;
     if peers.probe_timeout >= peers.probe_interval {
         add(found, "peers", "probe_timeout", "must be shorter than probe_interval");
@@ -90,16 +99,17 @@
     }
 }
 
-/// A call whose both sides are one node has two exchanges there.
-fn memory(settings: &Settings, found: &mut Vec<Contradiction>) {
-    let least = 2 * EXCHANGE_BYTES;
-    if settings.calls.body_memory < least {
-        let problem = format!("must be at least {} KiB, for two exchanges", least >> 10);
+/// Checks that the body memory suffices for two exchanges. A call that a node both accepts from the
+/// caller and forwards to its own upstream takes two.
+fn check_body_memory(settings: &Settings, found: &mut Vec<Contradiction>) {
+    let min = 2 * EXCHANGE_BYTES;
+    if settings.calls.body_memory < min {
+        let problem = format!("must be at least {} KB, for two exchanges", min >> 10);
         add(found, "calls", "body_memory", problem);
     }
 }
 
-/// The keys of the section that `section` holds.
+/// Returns the names of the keys of `section`, sorted; empty if it does not serialise.
 pub(crate) fn keys_of(section: &impl Serialize) -> Vec<String> {
     match ::config::Config::try_from(section).and_then(|source| source.try_deserialize()) {
         Ok(keys) => {
--- a/crates/sycamore-settings/src/lib.rs
+++ b/crates/sycamore-settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Node settings: read from INI, checked as a whole, with every fault named.
+//! Settings of a node, read from an INI file and checked, with all faults reported at once.
 
 pub mod calls;
 pub mod check;
@@ -15,25 +15,25 @@
 
 use serde::Serialize;
 
-/// All settings of a node, a field for each section of the file.
+/// Settings of a node, with one field per section of the file.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Settings {
-    /// `[node]`: who the node is.
+    /// Section `[node]`: identity of the node.
     pub node: node::Node,
-    /// `[listen]`: where it listens.
+    /// Section `[listen]`: addresses of the node's listeners.
     pub listen: node::Listen,
-    /// `[platform]`: the platform's table and object store.
+    /// Section `[platform]`: addresses of the platform and limits on its use.
     pub platform: platform::Platform,
-    /// `[operator]`: the operators' listener.
+    /// Section `[operator]`: access of operators.
     pub operator: operator::Operator,
-    /// `[log]`: what is logged.
+    /// Section `[log]`: log level and limits on log lines.
     pub log: operator::Log,
-    /// `[calls]`: routing, admission and retries.
+    /// Section `[calls]`: routing, admission and retries of calls.
     pub calls: calls::Calls,
-    /// `[peers]`: membership and spreading.
+    /// Section `[peers]`: timing of the failure detector.
     pub peers: peers::Peers,
-    /// `[config]`: finding and applying configurations.
+    /// Section `[config]`: finding and fetching configurations.
     pub config: config::Config,
-    /// `[moves]`: release moves and the time line.
+    /// Section `[moves]`: release moves and the timeline.
     pub moves: moves::Moves,
 }
--- a/crates/sycamore-settings/src/load.rs
+++ b/crates/sycamore-settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading settings: every key is tried alone, so that all faults are told at once.
+//! Reader of settings files, which parses each key separately to report all faults at once.
 
 use crate::{check, Settings};
 use ::config::{Config as Source, File, FileFormat};
@@ -9,16 +9,16 @@
 use std::fmt;
 use std::path::Path;
 
-/// One thing wrong with a settings file.
+/// Fault in one key or section of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The file's name.
+    /// Name of the file.
     pub file: String,
-    /// The section.
+    /// Name of the section.
     pub section: String,
-    /// The key; empty where the fault is the section's.
+    /// Name of the key; empty if the fault concerns the whole section.
     pub key: String,
-    /// What is wrong, in a sentence.
+    /// Description of the problem.
     pub problem: String,
 }
 
@@ -32,12 +32,12 @@
     }
 }
 
-/// Settings could not be used.
+/// Error of reading settings.
 #[derive(Debug)]
 pub enum SettingsError {
-    /// The file could not be read or is no INI.
+    /// The file could not be read or is not valid INI; names the file and the reason.
     Unreadable(String),
-    /// The file is readable, its content is wrong: every fault found.
+    /// The file is valid INI but its settings are not; holds all faults, at least one.
     Faulty(Vec<Fault>),
 }
 
@@ -55,12 +55,14 @@
 
 impl std::error::Error for SettingsError {}
 
+/// Values of one section by key.
 type Section = BTreeMap<String, String>;
 
 /// Reads the settings in the file at `path`.
 ///
 /// # Errors
-/// [`SettingsError`] where the file can't be read, or with every fault in it.
+/// [`SettingsError::Unreadable`] if the file can't be read or is not valid INI,
+/// [`SettingsError::Faulty`] with all faults in its settings.
 pub fn from_file(path: impl AsRef<Path>) -> Result<Settings, Report<SettingsError>> {
     let path = path.as_ref();
     let name = path.display().to_string();
@@ -69,12 +71,13 @@
     from_text(&name, &text)
 }
 
-/// Reads the settings in `text`; `name` stands for the file in faults.
+/// Reads the settings in `text`; `name` is the file name in errors.
 ///
 /// # Errors
-/// [`SettingsError`] where the text is no INI, or with every fault in it.
+/// [`SettingsError::Unreadable`] if `text` is not valid INI, [`SettingsError::Faulty`] with all
+/// faults in its settings.
 pub fn from_text(name: &str, text: &str) -> Result<Settings, Report<SettingsError>> {
-    let sections = sections(name, text)?;
+    let sections = parse_sections(name, text)?;
     let mut reader = Reader { file: name, sections, faults: Vec::new() };
     let settings = Settings {
         node: reader.required_section("node"),
@@ -87,7 +90,7 @@
         config: reader.section("config"),
         moves: reader.section("moves"),
     };
-    reader.refuse_rest();
+    reader.reject_unknown_sections();
     for contradiction in check::contradictions(&settings) {
         reader.fault(contradiction.section, contradiction.key, contradiction.problem);
     }
@@ -97,7 +100,10 @@
     }
 }
 
-fn sections(name: &str, text: &str) -> Result<BTreeMap<String, Section>, Report<SettingsError>> {
+fn parse_sections(
+    name: &str,
+    text: &str,
+) -> Result<BTreeMap<String, Section>, Report<SettingsError>> {
     let unreadable = |error: ::config::ConfigError| {
         Report::new(SettingsError::Unreadable(format!("{name}: {error}")))
     };
@@ -111,6 +117,7 @@
 
 struct Reader<'a> {
     file: &'a str,
+    /// Sections that have not been parsed yet.
     sections: BTreeMap<String, Section>,
     faults: Vec<Fault>,
 }
@@ -125,7 +132,7 @@
         });
     }
 
-    /// Takes the section `name`; keys that are not given keep their defaults.
+    /// Removes and parses the section `name`. Keys that are absent or faulty get their defaults.
     fn section<T: DeserializeOwned + Default>(&mut self, name: &str) -> T {
         let mut keys = self.sections.remove(name).unwrap_or_default();
         let mut problems = Vec::new();
@@ -148,7 +155,7 @@
         })
     }
 
-    /// Takes a section of which every key must be given.
+    /// Removes and parses the section `name`, in which all keys must be given.
     fn required_section<T>(&mut self, name: &str) -> T
     where
         T: DeserializeOwned + Default + serde::Serialize,
@@ -163,7 +170,8 @@
         self.section(name)
     }
 
-    fn refuse_rest(&mut self) {
+    /// Reports the sections that were not parsed as unknown.
+    fn reject_unknown_sections(&mut self) {
         for name in std::mem::take(&mut self.sections).into_keys() {
             self.fault(&name, "", "unknown section");
         }
--- a/crates/sycamore-settings/src/moves.rs
+++ b/crates/sycamore-settings/src/moves.rs
@@ -1,4 +1,4 @@
-//! `[moves]`: release moves and the time line.
+//! Section `[moves]`: settings of release moves and the timeline.
 
 use crate::unit::{Percent, Span};
 use serde::{Deserialize, Serialize};
@@ -6,21 +6,21 @@
 use std::time::Duration;
 use sycamore_types::share::Share;
 
-/// Release moves and the time line.
+/// Settings of release moves and the timeline, section `[moves]`.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Moves {
-    /// Share of an unproven version where the sheet names none.
+    /// Largest share of calls for a version that is not proven yet, unless the sheet sets one.
     #[serde_as(as = "Percent")]
     pub unproven_share: Share,
-    /// Time between two evidence summaries.
+    /// Interval between two evidence summaries.
     #[serde_as(as = "Span")]
     pub evidence_interval: Duration,
-    /// Events of the time line kept in memory.
+    /// Number of timeline events kept in memory.
     #[serde_as(as = "DisplayFromStr")]
     pub events: u32,
-    /// Keep events in the object store as well.
+    /// Whether timeline events are also written to the object store.
     #[serde_as(as = "DisplayFromStr")]
     pub archive: bool,
 }
--- a/crates/sycamore-settings/src/node.rs
+++ b/crates/sycamore-settings/src/node.rs
@@ -1,4 +1,4 @@
-//! `[node]` and `[listen]`: who the node is and where it listens.
+//! Sections `[node]` and `[listen]`: identity of a node and addresses of its listeners.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{serde_as, DisplayFromStr, NoneAsEmptyString};
@@ -6,19 +6,20 @@
 use sycamore_types::id::{DataCentre, Deployment, InstanceId, Region, ServiceName};
 use sycamore_types::member::Endpoints;
 
-/// Who the node is. All keys must be given.
+/// Identity of the node, section `[node]`. All keys must be given; the defaults are those of the
+/// sample file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Node {
-    /// The deployment; peers of another one are refused.
+    /// Deployment of the node; peers of another deployment are refused.
     pub deployment: Deployment,
-    /// The instance that the node runs on.
+    /// Instance on which the node runs.
     pub instance: InstanceId,
-    /// The service that the upstream beside the node serves.
+    /// Service of the upstream on the node's instance.
     pub service: ServiceName,
-    /// The data centre of the instance.
+    /// Data centre of the instance.
     pub data_centre: DataCentre,
-    /// The region of the data centre.
+    /// Region of the data centre.
     pub region: Region,
 }
 
@@ -34,41 +35,41 @@
     }
 }
 
-/// Where the node listens, an address and port each.
+/// Addresses and ports of the node's listeners, section `[listen]`.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Listen {
-    /// Callers.
+    /// Address of the listener for calls from callers.
     #[serde_as(as = "DisplayFromStr")]
     pub caller: SocketAddr,
-    /// The upstream beside the node.
+    /// Address of the listener for the upstream on the node's instance.
     #[serde_as(as = "DisplayFromStr")]
     pub upstream: SocketAddr,
-    /// Calls relayed by other nodes.
+    /// Address of the listener for calls relayed by other nodes.
     #[serde_as(as = "DisplayFromStr")]
     pub relay: SocketAddr,
-    /// Control messages of other nodes.
+    /// Address of the listener for control messages of other nodes.
     #[serde_as(as = "DisplayFromStr")]
     pub peer: SocketAddr,
-    /// Where other nodes reach the relay listener, where that is another address than its own, such
-    /// as behind a port that is passed on.
+    /// Address at which other nodes reach the relay listener, if it differs from the listener's own,
+    /// for example because of port forwarding.
     #[serde_as(as = "NoneAsEmptyString")]
     pub relay_advertised: Option<SocketAddr>,
-    /// Where other nodes reach the peer listener, likewise.
+    /// Address at which other nodes reach the peer listener, if it differs from the listener's own.
     #[serde_as(as = "NoneAsEmptyString")]
     pub peer_advertised: Option<SocketAddr>,
-    /// Operators.
+    /// Address of the listener for operators.
     #[serde_as(as = "DisplayFromStr")]
     pub operator: SocketAddr,
-    /// Questions whether the node is ready; none where it is empty, since operators' address
-    /// answers them as well.
+    /// Address of a separate listener for readiness probes; `None` for no such listener, since the
+    /// operators' listener answers readiness probes as well.
     #[serde_as(as = "NoneAsEmptyString")]
     pub ready: Option<SocketAddr>,
 }
 
 impl Listen {
-    /// Where other nodes reach this one.
+    /// Returns the addresses at which other nodes reach this node.
     pub fn endpoints(&self) -> Endpoints {
         Endpoints {
             peer: self.peer_advertised.unwrap_or(self.peer),
--- a/crates/sycamore-settings/src/operator.rs
+++ b/crates/sycamore-settings/src/operator.rs
@@ -1,4 +1,4 @@
-//! `[operator]` and `[log]`: the operators' listener and the log.
+//! Sections `[operator]` and `[log]`: access of operators and limits on logging.
 
 use crate::unit::Span;
 use serde::{Deserialize, Serialize};
@@ -6,32 +6,32 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Shortest accepted operator token, in bytes.
+/// Length of the shortest accepted operator token in bytes.
 pub const MIN_TOKEN_BYTES: usize = 16;
 
-/// A secret that is compared in constant time and never printed.
+/// Secret that is compared in constant time and never printed or serialised.
 #[derive(Clone, Default, Deserialize)]
 #[serde(transparent)]
 pub struct Secret(String);
 
 impl Secret {
-    /// Wraps `secret`.
+    /// Creates a secret from its text.
     pub fn new(secret: impl Into<String>) -> Self {
         Self(secret.into())
     }
 
-    /// Whether no secret is set.
+    /// Returns whether no secret is set.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Length in bytes.
+    /// Returns the length of the secret in bytes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether `given` is the secret; takes the same time wherever they differ. An empty secret
-    /// matches nothing.
+    /// Returns whether `given` equals the secret, in a time that does not depend on where they
+    /// differ. An empty secret matches nothing.
     pub fn matches(&self, given: &[u8]) -> bool {
         let secret = self.0.as_bytes();
         if secret.is_empty() || secret.len() != given.len() {
@@ -60,17 +60,18 @@
     }
 }
 
-/// The operators' listener.
+/// Access of operators to commands and queries, section `[operator]`.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Operator {
-    /// Token that commands need; without one, commands are refused.
+    /// Token that commands must carry, at least [`MIN_TOKEN_BYTES`] long; if it is empty, all
+    /// commands are refused.
     pub token: Secret,
-    /// Queries need no token.
+    /// Whether queries are answered without a token.
     #[serde_as(as = "DisplayFromStr")]
     pub open_queries: bool,
-    /// The listener may be on an address other than loopback.
+    /// Whether the operators' listener may have an address other than loopback.
     #[serde_as(as = "DisplayFromStr")]
     pub beyond_loopback: bool,
 }
@@ -81,38 +82,39 @@
     }
 }
 
-/// The least severe events that are logged.
+/// Lowest severity of the events that are logged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// What an operator must act on.
+    /// Events that need an operator's action.
     Error,
-    /// What an operator should look at.
+    /// Events that an operator should examine.
     Warn,
-    /// What happened.
+    /// Notable events in normal operation.
     #[default]
     Info,
-    /// Each decision.
+    /// Individual decisions.
     Debug,
 }
 
-/// What is logged.
+/// Log level and limits on log lines, section `[log]`.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Log {
-    /// The least severe events that are logged.
+    /// Lowest severity of the events that are logged.
     pub level: LogLevel,
-    /// Lines a second about calls that fail, are refused or are slow; further ones are counted only.
+    /// Largest rate of lines per second about failed, refused or slow calls; further lines are only
+    /// counted.
     #[serde_as(as = "DisplayFromStr")]
     pub failures_per_s: u32,
-    /// Lines a second about calls that go well.
+    /// Largest rate of lines per second about successful calls; further lines are only counted.
     #[serde_as(as = "DisplayFromStr")]
     pub successes_per_s: u32,
-    /// Time from which a call that goes well counts as slow.
+    /// Duration from which a successful call counts as slow.
     #[serde_as(as = "Span")]
     pub slow: Duration,
-    /// Lines that wait for a reader of the log; further ones are dropped and counted.
+    /// Largest number of lines that wait to be written; further lines are dropped and counted.
     #[serde_as(as = "DisplayFromStr")]
     pub queue: u32,
 }
--- a/crates/sycamore-settings/src/peers.rs
+++ b/crates/sycamore-settings/src/peers.rs
@@ -1,22 +1,22 @@
-//! `[peers]`: membership and spreading.
+//! Section `[peers]`: settings of the membership protocol.
 
 use crate::unit::Span;
 use serde::{Deserialize, Serialize};
 use serde_with::serde_as;
 use std::time::Duration;
 
-/// Membership and spreading.
+/// Timing of the failure detector of the membership protocol, section `[peers]`.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Peers {
-    /// Time between two probes of the failure detector.
+    /// Interval between two probes of the failure detector.
     #[serde_as(as = "Span")]
     pub probe_interval: Duration,
-    /// Time that a probed member has to answer.
+    /// Longest time that a probed member may take to answer; shorter than `probe_interval`.
     #[serde_as(as = "Span")]
     pub probe_timeout: Duration,
-    /// Time that a suspect has to refute.
+    /// Time that a suspected member has to refute the suspicion before it is declared dead.
     #[serde_as(as = "Span")]
     pub suspicion: Duration,
 }
--- a/crates/sycamore-settings/src/platform.rs
+++ b/crates/sycamore-settings/src/platform.rs
@@ -1,4 +1,4 @@
-//! `[platform]`: the platform's table and object store.
+//! Section `[platform]`: addresses of the platform and limits on its use.
 
 use crate::unit::Span;
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,8 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// The platform's transactional table and object store.
+/// Addresses of the platform's transactional table and object store, and limits on their use,
+/// section `[platform]`.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -17,13 +18,14 @@
     /// Address of the object store.
     #[serde_as(as = "DisplayFromStr")]
     pub objects: SocketAddr,
-    /// Time that one request to either may take.
+    /// Longest time of one request to the table or the object store.
     #[serde_as(as = "Span")]
     pub timeout: Duration,
-    /// Reads a second that all nodes together may spend on looking for changes.
+    /// Largest rate of reads per second with which all nodes together look for changes, at least 1.
     #[serde_as(as = "DisplayFromStr")]
     pub fleet_reads_per_s: u32,
-    /// Writes a second that all nodes together may spend on the time line.
+    /// Largest rate of writes per second with which all nodes together archive the timeline, at
+    /// least 1.
     #[serde_as(as = "DisplayFromStr")]
     pub fleet_writes_per_s: u32,
 }
