--- a/crates/sycamore-http/src/conn/mod.rs
+++ b/crates/sycamore-http/src/conn/mod.rs
@@ -13,4 +13,4 @@
 pub use error::ReadError;
 pub use reader::{relay_body, write_all, Reader};
 pub use server::{serve, Connection, ServeConfig, ServeError};
-pub use silence::Silence;
+pub use silence::Keepalive;
--- a/crates/sycamore-http/src/conn/silence.rs
+++ b/crates/sycamore-http/src/conn/silence.rs
@@ -11,7 +11,7 @@
 /// A peer process that is slow, stopped or frozen keeps its connections, because its kernel answers
 /// the probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Silence {
+pub struct Keepalive {
     /// Time without received data after which the first probe is sent.
     pub idle: Duration,
     /// Time between two probes.
@@ -20,28 +20,28 @@
     pub probes: u32,
 }
 
-impl Default for Silence {
+impl Default for Keepalive {
     fn default() -> Self {
         let second = Duration::from_secs(1);
         Self { idle: second, interval: second, probes: 1 }
     }
 }
 
-impl Silence {
+impl Keepalive {
     /// Returns the time after which the kernel closes a connection whose peer answers no probe, or
     /// does not acknowledge sent data.
-    pub fn limit(&self) -> Duration {
+    pub fn detection_time(&self) -> Duration {
         self.idle + self.interval * self.probes
     }
 
     /// Sets the socket options on `stream`, so that the kernel closes it if the peer is silent for
-    /// [`Silence::limit`].
+    /// [`Keepalive::detection_time`].
     ///
     /// # Errors
     /// I/O error if the socket rejects an option.
-    pub fn watch(&self, stream: &TcpStream) -> io::Result<()> {
+    pub fn apply(&self, stream: &TcpStream) -> io::Result<()> {
         stream.set_tcp_keepalive(Some(self.idle), Some(self.interval), Some(self.probes))?;
-        let user_timeout_ms = u32::try_from(self.limit().as_millis()).unwrap_or(u32::MAX);
+        let user_timeout_ms = u32::try_from(self.detection_time().as_millis()).unwrap_or(u32::MAX);
         setsockopt(stream.as_raw_fd(), sockopt::TcpUserTimeout, &user_timeout_ms)?;
         Ok(())
     }
--- a/crates/sycamore-node/src/calls/listen.rs
+++ b/crates/sycamore-node/src/calls/listen.rs
@@ -10,7 +10,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
-use sycamore_http::conn::Silence;
+use sycamore_http::conn::Keepalive;
 
 /// Pause after a failed accept, such as for want of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -74,7 +74,7 @@
     guard: OpenGuard,
 ) {
     // A node that is gone without a word must not leave its calls running.
-    let watched = side != Side::Relay || Silence::default().watch(&stream).is_ok();
+    let watched = side != Side::Relay || Keepalive::default().apply(&stream).is_ok();
     if stream.set_nodelay(true).is_err() || !watched {
         return;
     }
--- a/crates/sycamore-node/src/calls/pool.rs
+++ b/crates/sycamore-node/src/calls/pool.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use sycamore_http::conn::{Reader, Silence};
+use sycamore_http::conn::{Keepalive, Reader};
 
 /// Longest time to connect.
 const CONNECT_TIME: Duration = Duration::from_millis(500);
@@ -104,6 +104,6 @@
     let connected = timeout(CONNECT_TIME, TcpStream::connect(address)).await;
     let stream = connected.map_err(|_| NotConnected)?.map_err(|_| NotConnected)?;
     stream.set_nodelay(true).map_err(|_| NotConnected)?;
-    Silence::default().watch(&stream).map_err(|_| NotConnected)?;
+    Keepalive::default().apply(&stream).map_err(|_| NotConnected)?;
     Ok(Stream::from_split(stream.into_split()))
 }
--- a/crates/sycamore-platform/src/http/connection.rs
+++ b/crates/sycamore-platform/src/http/connection.rs
@@ -18,7 +18,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
-use sycamore_http::conn::Silence;
+use sycamore_http::conn::Keepalive;
 
 /// Read buffer limit of a connection in bytes, which also limits the headers of an answer.
 const MAX_BUFFER_BYTES: usize = 16 << 10;
@@ -49,7 +49,7 @@
         stream.set_nodelay(true).map_err(unreachable)?;
         // A watch request waits many seconds for its answer. Keepalive detects a dead peer
         // meanwhile, which would otherwise delay a change until the request times out.
-        Silence::default().watch(&stream).map_err(unreachable)?;
+        Keepalive::default().apply(&stream).map_err(unreachable)?;
         let inner = MonoioIo::new(stream.into_poll_io().map_err(unreachable)?);
         let (sender, driver) = Builder::new()
             .max_buf_size(MAX_BUFFER_BYTES)
