--- a/crates/sycamore-node/src/platform/mod.rs
+++ b/crates/sycamore-node/src/platform/mod.rs
@@ -5,7 +5,7 @@
 use prometheus::Registry;
 use std::rc::Rc;
 use sycamore_platform::budget::BudgetSettings;
-use sycamore_platform::http::{Ended, Observer, RequestKind};
+use sycamore_platform::http::{FinishedRequest, Observer, RequestKind};
 use sycamore_platform::{HttpPlatform, HttpSettings, StoreProtocol};
 use sycamore_settings::platform::Platform as Settings;
 
@@ -32,7 +32,7 @@
             ..HttpSettings::new(settings.table)
         };
         let observer = observer(registry)?;
-        Ok(Self { http: HttpPlatform::with_protocol(http, protocol).observed_by(observer) })
+        Ok(Self { http: HttpPlatform::with_protocol(http, protocol).with_observer(observer) })
     }
 
     /// The client of the table and of the object store.
@@ -47,7 +47,7 @@
     let labels = &["kind", "result"];
     let results = meter.counters("platform_results_total", "Requests to the platform", labels)?;
     let seconds = meter.times_by("platform_seconds", "Time of a request there", &["kind"])?;
-    Ok(Rc::new(move |ended: Ended| {
+    Ok(Rc::new(move |ended: FinishedRequest| {
         let kind = match ended.kind {
             RequestKind::Read => "read",
             RequestKind::Write => "write",
--- a/crates/sycamore-platform/src/http/mod.rs
+++ b/crates/sycamore-platform/src/http/mod.rs
@@ -99,7 +99,7 @@
 
 /// Result of one request to the platform that the budget allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ended {
+pub struct FinishedRequest {
     /// Kind of the request.
     pub kind: RequestKind,
     /// Status of the answer; `None` if no complete answer arrived.
@@ -109,7 +109,7 @@
 }
 
 /// Callback that gets the result of each request.
-pub type Observer = Rc<dyn Fn(Ended)>;
+pub type Observer = Rc<dyn Fn(FinishedRequest)>;
 
 impl HttpPlatform {
     /// Creates a client for the protocol of `docs/INTERFACES.md`. It connects on the first request.
@@ -142,7 +142,7 @@
     }
 
     /// Sets the callback that gets the result of each request; replaces an earlier one.
-    pub fn observed_by(self, observer: Observer) -> Self {
+    pub fn with_observer(self, observer: Observer) -> Self {
         Self { observer: Some(observer), ..self }
     }
 
@@ -198,7 +198,7 @@
         }
         if let Some(observer) = &self.observer {
             let status = answer.as_ref().ok().map(|(status, _)| *status);
-            observer(Ended { kind, status, took: started.elapsed() });
+            observer(FinishedRequest { kind, status, took: started.elapsed() });
         }
         answer
     }
