--- a/crates/sycamore-node/src/calls/listen.rs
+++ b/crates/sycamore-node/src/calls/listen.rs
@@ -10,7 +10,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
-use sycamore_http::conn::Silence;
+use sycamore_http::conn::Keepalive;
 
 /// Pause after a failed accept, such as when the process has run out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -82,7 +82,7 @@
     guard: ConnectionGuard,
 ) {
     // TCP keepalive ends the calls of a node that is gone without closing its connection.
-    let watched = kind != ListenerKind::Relay || Silence::default().watch(&stream).is_ok();
+    let watched = kind != ListenerKind::Relay || Keepalive::default().apply(&stream).is_ok();
     if stream.set_nodelay(true).is_err() || !watched {
         return;
     }
