--- a/crates/sycamore-peer/src/client/connection.rs
+++ b/crates/sycamore-peer/src/client/connection.rs
@@ -1,9 +1,10 @@
-//! One HTTP/2 connection to another node.
+//! HTTP/2 client connection to another node's peer listener.
 
-use crate::io::Counted;
-use crate::server::{FROM_HEADER, HTTP2_BUFFER_BYTES, HTTP2_WINDOW_BYTES};
+use crate::codec::malformed;
+use crate::io::CountedStream;
+use crate::server::{FROM_HEADER, HTTP2_SEND_BUFFER_BYTES, HTTP2_WINDOW_BYTES};
 use crate::{Counters, Error, Result};
-use error_stack::{Report, ResultExt};
+use error_stack::ResultExt;
 use http::HeaderValue;
 use hyper::body::Incoming;
 use hyper::client::conn::http2::{Builder, SendRequest};
@@ -23,7 +24,7 @@
 use sycamore_types::prelude::*;
 use tonic::body::Body;
 
-/// Sends calls over one connection.
+/// Sends calls over one connection, with the headers that name the deployment and the caller.
 #[derive(Clone)]
 pub(super) struct Channel {
     send: SendRequest<Body>,
@@ -47,20 +48,21 @@
     }
 }
 
-/// An open connection with the task that drives it.
+/// Open connection and the task that drives its I/O.
 pub(super) struct Connection {
     pub(super) channel: Channel,
-    pub(super) used: Instant,
+    /// Time at which the latest call took the channel.
+    pub(super) last_used: Instant,
     driver: JoinHandle<()>,
 }
 
-/// A connection that takes no more calls.
-pub(super) struct Closing {
+/// Connection that accepts no new calls and ends when its running calls have ended.
+pub(super) struct ClosingConnection {
     driver: JoinHandle<()>,
 }
 
 impl Connection {
-    /// Opens a connection to the peer listener at `to`.
+    /// Connects to the peer listener at `to`, without a timeout of its own.
     pub(super) async fn open(
         to: SocketAddr,
         deployment: &Deployment,
@@ -71,49 +73,53 @@
         stream.set_nodelay(true).change_context(Error::Connect)?;
         let stream = stream.into_poll_io().change_context(Error::Connect)?;
         counters.add_connections_out(1);
-        let io = MonoioIo::new(Counted::new(stream, counters, Rc::new(Cell::new(true))));
+        let io = MonoioIo::new(CountedStream::new(stream, counters, Rc::new(Cell::new(true))));
         let (send, connection) = Builder::new(MonoioExecutor)
             .initial_stream_window_size(HTTP2_WINDOW_BYTES)
             .initial_connection_window_size(HTTP2_WINDOW_BYTES)
-            .max_send_buf_size(HTTP2_BUFFER_BYTES)
+            .max_send_buf_size(HTTP2_SEND_BUFFER_BYTES)
             .handshake(io)
             .await
             .change_context(Error::Connect)?;
         let driver = monoio::spawn(async move {
-            // An error of the connection shows in the calls that it carried.
+            // The calls on the connection report its errors.
             let _ = connection.await;
         });
         let channel = Channel {
             send,
-            deployment: header(deployment.as_str())?,
-            from: header(from.as_str())?,
+            deployment: header_value(deployment.as_str())?,
+            from: header_value(from.as_str())?,
         };
-        Ok(Self { channel, used: Instant::now(), driver })
+        Ok(Self { channel, last_used: Instant::now(), driver })
     }
 
-    /// Whether the peer or the network has closed the connection.
+    /// Returns whether the connection has ended, at the peer's close or on a network error.
     pub(super) fn is_closed(&self) -> bool {
         self.channel.send.is_closed() || self.driver.is_finished()
     }
 
-    /// Takes no more calls; the connection ends once its calls have.
-    pub(super) fn release(self) -> Closing {
-        Closing { driver: self.driver }
+    /// Stops new calls on the connection; it ends when its running calls have ended.
+    pub(super) fn into_closing(self) -> ClosingConnection {
+        ClosingConnection { driver: self.driver }
     }
 }
 
-impl Closing {
-    /// Whether the connection has ended.
+impl ClosingConnection {
+    /// Returns whether the connection has ended.
     pub(super) fn is_finished(&self) -> bool {
         self.driver.is_finished()
     }
 
-    /// Waits for the connection's end.
+    /// Waits until the connection has ended.
     pub(super) async fn join(self) {
         self.driver.await;
     }
 }
 
-fn header(value: &str) -> Result<HeaderValue> {
-    HeaderValue::from_str(value).map_err(|_| Report::new(Error::Malformed))
+/// Converts `value` to a header value.
+///
+/// # Errors
+/// [`Error::Malformed`] where it holds characters that a header may not carry.
+fn header_value(value: &str) -> Result<HeaderValue> {
+    HeaderValue::from_str(value).map_err(|_| malformed("name not allowed in a header"))
 }
--- a/crates/sycamore-peer/src/client/mod.rs
+++ b/crates/sycamore-peer/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to other nodes, over a bounded cache of connections.
+//! Client for calls to other nodes, with a bounded cache of connections.
 
 mod connection;
 
@@ -9,7 +9,7 @@
 use crate::server::Evidence;
 use crate::{Counters, Error, Result};
 use bytes::Bytes;
-use connection::{Channel, Closing, Connection};
+use connection::{Channel, ClosingConnection, Connection};
 use error_stack::{Report, ResultExt};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,16 +21,16 @@
 use sycamore_member::message::{ExchangeReply, ExchangeRequest};
 use sycamore_types::prelude::*;
 
-/// Settings of [`Peers`].
+/// Timeouts and limits of a [`Peers`] client.
 #[derive(Debug, Clone)]
 pub struct PeersOptions {
-    /// Connections kept open at most; the one unused for longest makes room.
+    /// Largest number of cached connections; a new one replaces the least recently used.
     pub connections: usize,
-    /// Time to open a connection.
+    /// Longest time to connect, HTTP/2 handshake included.
     pub connect_timeout: Duration,
-    /// Time to answer a call.
+    /// Longest time from sending a call to its whole answer.
     pub call_timeout: Duration,
-    /// Unused connections are closed after this time.
+    /// Time without a new call after which [`Peers::close_idle`] closes a connection.
     pub idle: Duration,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Handle for calls to other nodes; cheap to clone.
+/// Client for calls to other nodes; clones share the connections.
 #[derive(Clone)]
 pub struct Peers {
     inner: Rc<Inner>,
@@ -57,13 +57,15 @@
     options: PeersOptions,
     counters: Arc<Counters>,
     connections: RefCell<HashMap<SocketAddr, Connection>>,
-    closing: RefCell<Vec<Closing>>,
+    /// Connections removed from the cache whose running calls may not have ended.
+    closing: RefCell<Vec<ClosingConnection>>,
 }
 
 type Client = PeerClient<Channel>;
 
 impl Peers {
-    /// A handle for the node of instance `from`.
+    /// Creates a client without connections; `from` is the calling node's instance, sent with
+    /// every call.
     pub fn new(
         deployment: Deployment,
         from: InstanceId,
@@ -76,122 +78,131 @@
         Self { inner: Rc::new(inner) }
     }
 
-    /// The counters that the handle's sockets feed.
+    /// Returns the traffic counters that the client's connections add to.
     pub fn counters(&self) -> &Arc<Counters> {
         &self.inner.counters
     }
 
-    /// Compares tables with the node at `to`, the address of its peer listener.
+    /// Sends an exchange request, which compares membership tables or offers items, to the node
+    /// whose peer listener is at `to`.
     ///
     /// # Errors
-    /// [`Error`] where the peer can't be reached, refuses or answers with something malformed.
+    /// [`Error`] where the peer can't be reached, refuses or sends a malformed reply.
     pub async fn exchange(&self, to: SocketAddr, req: &ExchangeRequest) -> Result<ExchangeReply> {
         let wire = codec::request_to_wire(req);
         let reply = self.call(to, |mut client: Client| async move { client.exchange(wire).await });
         codec::reply_from_wire(reply.await?)
     }
 
-    /// Fetches objects by hash from the node at `to`. It answers with those that it holds and that
-    /// fit into [`crate::limits::MAX_FETCH_BYTES`]; each is checked against its hash.
+    /// Fetches configuration objects by content hash from the node at `to`. The reply has those
+    /// that the node holds and that fit into [`crate::limits::MAX_FETCH_BYTES`]; each is verified
+    /// against its hash.
     ///
     /// # Errors
-    /// [`Error`] where the peer can't be reached or refuses; [`Error::Malformed`] where more than
-    /// [`MAX_FETCH_HASHES`] are asked for, or an answered object doesn't match its hash.
+    /// [`Error`] where the peer can't be reached or refuses; [`Error::Malformed`] where `hashes` has
+    /// more than [`MAX_FETCH_HASHES`] entries, or a returned object doesn't match its hash.
     pub async fn fetch(
         &self,
         to: SocketAddr,
         hashes: &[ContentHash],
     ) -> Result<Vec<(ContentHash, Bytes)>> {
         if hashes.len() > MAX_FETCH_HASHES {
-            return Err(malformed("too many hashes"));
+            return Err(malformed("more than MAX_FETCH_HASHES hashes to fetch"));
         }
         let hashes = hashes.iter().map(|hash| Bytes::copy_from_slice(&hash.0)).collect();
         let req = proto::FetchRequest { hashes };
         let reply = self.call(to, |mut client: Client| async move { client.fetch(req).await });
-        reply.await?.objects.into_iter().map(checked_object).collect()
+        reply.await?.objects.into_iter().map(verify_object).collect()
     }
 
-    /// Asks the node at `to` for the highest configuration head that it has seen.
+    /// Asks the node at `to` for the highest configuration head that it has seen; `None` where it
+    /// has seen none.
     ///
     /// # Errors
-    /// [`Error`] where the peer can't be reached, refuses or answers with something malformed.
+    /// [`Error`] where the peer can't be reached, refuses or sends a malformed reply.
     pub async fn head(&self, to: SocketAddr) -> Result<Option<ConfigHead>> {
         let req = proto::HeadRequest {};
         let reply = self.call(to, |mut client: Client| async move { client.head(req).await });
         reply.await?.head.as_ref().map(codec::head_from_wire).transpose()
     }
 
-    /// Delivers an evidence summary to the node at `to`; gives its answer.
+    /// Sends an evidence summary to the node at `to` and returns the body of its answer.
     ///
     /// # Errors
-    /// [`Error`] where the peer can't be reached or refuses; [`Error::Malformed`] where the body
+    /// [`Error`] where the peer can't be reached or refuses; [`Error::Malformed`] where the summary
     /// exceeds [`MAX_EVIDENCE_BYTES`].
     pub async fn evidence(&self, to: SocketAddr, evidence: Evidence) -> Result<Bytes> {
         if evidence.body.len() > MAX_EVIDENCE_BYTES {
-            return Err(malformed("evidence too large"));
+            return Err(malformed("evidence summary larger than MAX_EVIDENCE_BYTES"));
         }
         let req = proto::EvidenceRequest { kind: evidence.kind, body: evidence.body };
         let reply = self.call(to, |mut client: Client| async move { client.evidence(req).await });
         Ok(reply.await?.body)
     }
 
-    /// Closes connections that have not been used for [`PeersOptions::idle`].
+    /// Closes the connections without a new call for [`PeersOptions::idle`], and removes those that
+    /// have ended.
     pub fn close_idle(&self) {
         let idle = self.inner.options.idle;
         let mut connections = self.inner.connections.borrow_mut();
         let stale: Vec<SocketAddr> = connections
             .iter()
-            .filter(|(_, connection)| connection.used.elapsed() > idle || connection.is_closed())
+            .filter(|(_, connection)| {
+                connection.last_used.elapsed() > idle || connection.is_closed()
+            })
             .map(|(to, _)| *to)
             .collect();
         for to in stale {
-            self.retire(connections.remove(&to));
+            self.begin_close(connections.remove(&to));
         }
     }
 
-    /// Closes all connections and joins their tasks.
+    /// Closes all connections and waits until their running calls and tasks have ended.
     pub async fn close(&self) {
         let open: Vec<Connection> =
             self.inner.connections.borrow_mut().drain().map(|(_, connection)| connection).collect();
-        let closing: Vec<Closing> = self.inner.closing.borrow_mut().drain(..).collect();
-        let all = open.into_iter().map(Connection::release).chain(closing);
-        for connection in all.collect::<Vec<Closing>>() {
+        let closing: Vec<ClosingConnection> = self.inner.closing.borrow_mut().drain(..).collect();
+        let all = open.into_iter().map(Connection::into_closing).chain(closing);
+        for connection in all.collect::<Vec<ClosingConnection>>() {
             connection.join().await;
         }
     }
 
-    /// Runs `call` over a connection to `to`, with the call timeout.
+    /// Runs `call` over a connection to `to`, for at most the call timeout.
     async fn call<T, F>(&self, to: SocketAddr, call: impl FnOnce(Client) -> F) -> Result<T>
     where
         F: Future<Output = std::result::Result<tonic::Response<T>, tonic::Status>>,
     {
-        let client = self.client(to).await?;
+        let client = self.client_for(to).await?;
         match monoio::time::timeout(self.inner.options.call_timeout, call(client)).await {
             Ok(Ok(reply)) => Ok(reply.into_inner()),
-            Ok(Err(status)) => Err(self.refused(to, &status)),
+            Ok(Err(status)) => Err(self.call_error(to, &status)),
             Err(_) => {
-                self.forget(to);
+                self.discard(to);
                 Err(Report::new(Error::Timeout))
             }
         }
     }
 
-    fn refused(&self, to: SocketAddr, status: &tonic::Status) -> Report<Error> {
+    /// Converts a failed call's status to an error. The connection to `to` remains cached where the
+    /// peer refused this one call, and is discarded on any other status.
+    fn call_error(&self, to: SocketAddr, status: &tonic::Status) -> Report<Error> {
         match status.code() {
             tonic::Code::PermissionDenied => Report::new(Error::Deployment),
-            tonic::Code::InvalidArgument => malformed("refused by the peer"),
+            tonic::Code::InvalidArgument => malformed("the peer refused the request as malformed"),
             tonic::Code::ResourceExhausted => Report::new(Error::Call),
             _ => {
-                self.forget(to);
+                self.discard(to);
                 Report::new(Error::Call).attach(status.code().description())
             }
         }
     }
 
-    async fn client(&self, to: SocketAddr) -> Result<Client> {
+    /// Returns a gRPC client over the cached connection to `to`, or over a new one.
+    async fn client_for(&self, to: SocketAddr) -> Result<Client> {
         let origin: http::Uri =
             format!("http://{to}").parse().change_context(Error::Malformed).attach("address")?;
-        let channel = match self.cached(to) {
+        let channel = match self.cached_channel(to) {
             Some(channel) => channel,
             None => self.connect(to).await?,
         };
@@ -200,17 +211,20 @@
             .max_encoding_message_size(MAX_MESSAGE_BYTES))
     }
 
-    fn cached(&self, to: SocketAddr) -> Option<Channel> {
+    /// Returns the channel of the cached connection to `to`, and marks it as used now.
+    fn cached_channel(&self, to: SocketAddr) -> Option<Channel> {
         let mut connections = self.inner.connections.borrow_mut();
         let connection = connections.get_mut(&to)?;
         if connection.is_closed() {
-            self.retire(connections.remove(&to));
+            self.begin_close(connections.remove(&to));
             return None;
         }
-        connection.used = Instant::now();
+        connection.last_used = Instant::now();
         Some(connection.channel.clone())
     }
 
+    /// Opens a connection to `to` and caches it in place of the least recently used one where the
+    /// cache is full.
     async fn connect(&self, to: SocketAddr) -> Result<Channel> {
         let inner = &self.inner;
         let open = Connection::open(to, &inner.deployment, &inner.from, inner.counters.clone());
@@ -220,29 +234,37 @@
         let channel = connection.channel.clone();
         let mut connections = inner.connections.borrow_mut();
         if connections.len() >= inner.options.connections {
-            let oldest = connections.iter().min_by_key(|(_, c)| c.used).map(|(to, _)| *to);
-            self.retire(oldest.and_then(|oldest| connections.remove(&oldest)));
+            let least_recent =
+                connections.iter().min_by_key(|(_, c)| c.last_used).map(|(to, _)| *to);
+            self.begin_close(least_recent.and_then(|to| connections.remove(&to)));
         }
-        let earlier = connections.insert(to, connection);
+        // A concurrent call may have cached a connection to the same peer while this one opened.
+        let replaced = connections.insert(to, connection);
         drop(connections);
-        self.retire(earlier);
+        self.begin_close(replaced);
         Ok(channel)
     }
 
-    fn forget(&self, to: SocketAddr) {
+    /// Removes the connection to `to` from the cache and starts to close it.
+    fn discard(&self, to: SocketAddr) {
         let connection = self.inner.connections.borrow_mut().remove(&to);
-        self.retire(connection);
+        self.begin_close(connection);
     }
 
-    /// Lets `connection` end once its calls have; its task is joined by [`Peers::close`].
-    fn retire(&self, connection: Option<Connection>) {
+    /// Starts to close `connection`, which ends when its running calls have ended; [`Peers::close`]
+    /// joins its task.
+    fn begin_close(&self, connection: Option<Connection>) {
         let mut closing = self.inner.closing.borrow_mut();
         closing.retain(|connection| !connection.is_finished());
-        closing.extend(connection.map(Connection::release));
+        closing.extend(connection.map(Connection::into_closing));
     }
 }
 
-fn checked_object(object: proto::Object) -> Result<(ContentHash, Bytes)> {
+/// Returns an object of a fetch reply with its content hash.
+///
+/// # Errors
+/// [`Error::Malformed`] where the object doesn't match the hash that the peer gave.
+fn verify_object(object: proto::Object) -> Result<(ContentHash, Bytes)> {
     let hash = ContentHash::of(&object.body);
     if object.hash.as_ref() != hash.0 {
         return Err(malformed("object doesn't match its hash"));
--- a/crates/sycamore-peer/src/codec/exchange.rs
+++ b/crates/sycamore-peer/src/codec/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchange messages on the wire.
+//! Converts exchange requests and replies to and from their protobuf messages.
 
 use super::item::{item_to_wire, items_from_wire};
 use super::malformed;
@@ -7,7 +7,7 @@
 use crate::Result;
 use sycamore_member::message::{ExchangeReply, ExchangeRequest, Scope};
 
-/// An exchange request as it goes on the wire.
+/// Converts an exchange request to its protobuf message.
 pub fn request_to_wire(req: &ExchangeRequest) -> proto::ExchangeRequest {
     proto::ExchangeRequest {
         buckets: req.buckets.clone(),
@@ -17,13 +17,14 @@
     }
 }
 
-/// The exchange request in `wire`.
+/// Converts a protobuf message to an exchange request.
 ///
 /// # Errors
-/// [`crate::Error::Malformed`] where a bound is exceeded or an item is not well formed.
+/// [`crate::Error::Malformed`] where it names more than [`MAX_BUCKETS`] buckets, has more than
+/// [`MAX_EXCHANGE_ITEMS`] items, or has a malformed item.
 pub fn request_from_wire(wire: proto::ExchangeRequest) -> Result<ExchangeRequest> {
     if wire.buckets.len() > MAX_BUCKETS {
-        return Err(malformed("too many buckets"));
+        return Err(malformed("exchange request with more than MAX_BUCKETS buckets"));
     }
     Ok(ExchangeRequest {
         buckets: wire.buckets,
@@ -33,7 +34,7 @@
     })
 }
 
-/// An exchange reply as it goes on the wire.
+/// Converts an exchange reply to its protobuf message.
 pub fn reply_to_wire(reply: &ExchangeReply) -> proto::ExchangeReply {
     proto::ExchangeReply {
         differing: reply.differing.clone(),
@@ -42,13 +43,14 @@
     }
 }
 
-/// The exchange reply in `wire`.
+/// Converts a protobuf message to an exchange reply.
 ///
 /// # Errors
-/// [`crate::Error::Malformed`] where a bound is exceeded or an item is not well formed.
+/// [`crate::Error::Malformed`] where it names more than [`MAX_BUCKETS`] buckets, has more than
+/// [`MAX_EXCHANGE_ITEMS`] items, or has a malformed item.
 pub fn reply_from_wire(wire: proto::ExchangeReply) -> Result<ExchangeReply> {
     if wire.differing.len() > MAX_BUCKETS {
-        return Err(malformed("too many buckets"));
+        return Err(malformed("exchange reply with more than MAX_BUCKETS buckets"));
     }
     Ok(ExchangeReply {
         differing: wire.differing,
--- a/crates/sycamore-peer/src/codec/item.rs
+++ b/crates/sycamore-peer/src/codec/item.rs
@@ -1,41 +1,44 @@
-//! Items and members on the wire.
+//! Converts items and members to and from their protobuf messages.
 
 use super::fact::{fact_from_wire, fact_to_wire};
-use super::{id, malformed};
+use super::{malformed, parse_id};
 use crate::proto;
-use crate::proto::item::Item as Wire;
+use crate::proto::item::Item as WireItem;
 use crate::Result;
 use bytes::Bytes;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 use sycamore_member::message::{Brief, Item};
 use sycamore_types::prelude::*;
 
-/// An item as it goes on the wire.
+/// Converts an item to its protobuf message.
 pub fn item_to_wire(item: &Item) -> proto::Item {
     let item = match item {
-        Item::Member(member) => Wire::Member(member_to_wire(member)),
+        Item::Member(member) => WireItem::Member(member_to_wire(member)),
         Item::Fact(fact) => fact_to_wire(fact),
-        Item::Brief(brief) => Wire::Brief(brief_to_wire(brief)),
+        Item::Brief(brief) => WireItem::Brief(brief_to_wire(brief)),
     };
     proto::Item { item: Some(item) }
 }
 
-/// The item in `wire`.
+/// Converts a protobuf message to an item.
 ///
 /// # Errors
-/// [`crate::Error::Malformed`] where a field is missing or out of its bounds.
+/// [`crate::Error::Malformed`] where it is empty, or a field is missing or out of bounds.
 pub fn item_from_wire(wire: proto::Item) -> Result<Item> {
-    match wire.item.ok_or_else(|| malformed("empty item"))? {
-        Wire::Member(member) => member_from_wire(&member).map(Item::Member),
-        Wire::Brief(brief) => brief_from_wire(&brief).map(Item::Brief),
+    match wire.item.ok_or_else(|| malformed("item without content"))? {
+        WireItem::Member(member) => member_from_wire(&member).map(Item::Member),
+        WireItem::Brief(brief) => brief_from_wire(&brief).map(Item::Brief),
         fact => fact_from_wire(fact).map(Item::Fact),
     }
 }
 
-/// Items in `wire`, at most `max`.
+/// Converts protobuf messages to at most `max` items.
+///
+/// # Errors
+/// [`crate::Error::Malformed`] where there are more, or one of them is malformed.
 pub(super) fn items_from_wire(wire: Vec<proto::Item>, max: usize) -> Result<Vec<Item>> {
     if wire.len() > max {
-        return Err(malformed("too many items"));
+        return Err(malformed("more items than one message may carry"));
     }
     wire.into_iter().map(item_from_wire).collect()
 }
@@ -57,13 +60,13 @@
 
 fn member_from_wire(wire: &proto::Member) -> Result<Member> {
     Ok(Member {
-        instance: id(&wire.instance, "instance")?,
+        instance: parse_id(&wire.instance, "instance")?,
         incarnation: Incarnation(wire.incarnation),
         state: state_from_wire(wire.state())?,
-        service: id(&wire.service, "service")?,
-        version: id(&wire.version, "version")?,
-        data_centre: id(&wire.data_centre, "data centre")?,
-        region: id(&wire.region, "region")?,
+        service: parse_id(&wire.service, "service")?,
+        version: parse_id(&wire.version, "version")?,
+        data_centre: parse_id(&wire.data_centre, "data centre")?,
+        region: parse_id(&wire.region, "region")?,
         endpoints: Endpoints {
             peer: address_from_wire(wire.peer.as_ref())?,
             relay: address_from_wire(wire.relay.as_ref())?,
@@ -82,7 +85,7 @@
 
 fn brief_from_wire(wire: &proto::Brief) -> Result<Brief> {
     Ok(Brief {
-        instance: id(&wire.instance, "instance")?,
+        instance: parse_id(&wire.instance, "instance")?,
         incarnation: Incarnation(wire.incarnation),
         state: state_from_wire(wire.state())?,
     })
@@ -100,7 +103,7 @@
 
 fn state_from_wire(state: proto::MemberState) -> Result<MemberState> {
     match state {
-        proto::MemberState::Unspecified => Err(malformed("member state")),
+        proto::MemberState::Unspecified => Err(malformed("member state is unspecified or unknown")),
         proto::MemberState::Joining => Ok(MemberState::Joining),
         proto::MemberState::Serving => Ok(MemberState::Serving),
         proto::MemberState::Suspect => Ok(MemberState::Suspect),
@@ -118,7 +121,7 @@
 }
 
 fn address_from_wire(wire: Option<&proto::Address>) -> Result<SocketAddr> {
-    let wire = wire.ok_or_else(|| malformed("address missing"))?;
+    let wire = wire.ok_or_else(|| malformed("member without an address"))?;
     let port = u16::try_from(wire.port).map_err(|_| malformed("port"))?;
     Ok(SocketAddr::new(ip_from_wire(&wire.ip)?, port))
 }
@@ -129,5 +132,5 @@
     }
     <[u8; 16]>::try_from(ip)
         .map(|octets| IpAddr::V6(Ipv6Addr::from(octets)))
-        .map_err(|_| malformed("IP address"))
+        .map_err(|_| malformed("IP address is neither 4 nor 16 bytes long"))
 }
--- a/crates/sycamore-peer/src/codec/mod.rs
+++ b/crates/sycamore-peer/src/codec/mod.rs
@@ -1,4 +1,5 @@
-//! Conversion between the machines' messages and the wire's. Decoding checks every bound.
+//! Converts the messages of the membership state machine to and from protobuf, and checks every
+//! bound when it decodes.
 
 mod exchange;
 mod fact;
@@ -13,12 +14,15 @@
 use crate::{Error, Result};
 use error_stack::Report;
 
-/// A report of [`Error::Malformed`] that names `what`.
+/// Creates an [`Error::Malformed`] report; `what` says which part of the message is at fault.
 pub(crate) fn malformed(what: &'static str) -> Report<Error> {
     Report::new(Error::Malformed).attach(what)
 }
 
-/// Parses an identifier.
-fn id<T: std::str::FromStr>(text: &str, what: &'static str) -> Result<T> {
+/// Parses an identifier of the kind that `what` names.
+///
+/// # Errors
+/// [`Error::Malformed`] with `what` where `text` is no valid identifier.
+fn parse_id<T: std::str::FromStr>(text: &str, what: &'static str) -> Result<T> {
     text.parse().map_err(|_| malformed(what))
 }
--- a/crates/sycamore-peer/src/counters.rs
+++ b/crates/sycamore-peer/src/counters.rs
@@ -1,9 +1,9 @@
-//! Counters of control traffic, shared by sockets of one process.
+//! Counters of a node's control traffic, shared by all sockets of the process.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts of one process since it started. Bytes are those that sockets sent and received, with
-/// all headers above TCP; datagrams count [`DATAGRAM_HEADER_BYTES`] besides.
+/// Traffic counts since the process started. TCP bytes are those that sockets sent and received,
+/// HTTP headers included and TCP/IP headers not; each datagram adds [`DATAGRAM_HEADER_BYTES`].
 #[derive(Debug, Default)]
 pub struct Counters {
     bytes_in: AtomicU64,
@@ -14,7 +14,7 @@
     connections_refused: AtomicU64,
 }
 
-/// IPv4 and UDP headers of one datagram.
+/// Size of the IPv4 and UDP headers of one datagram, in bytes.
 pub const DATAGRAM_HEADER_BYTES: u64 = 28;
 
 macro_rules! counter {
@@ -32,36 +32,38 @@
 
 impl Counters {
     counter! {
-        /// Control bytes received.
+        /// Returns the number of control traffic bytes received.
         bytes_in, add_bytes_in
     }
     counter! {
-        /// Control bytes sent.
+        /// Returns the number of control traffic bytes sent.
         bytes_out, add_bytes_out
     }
     counter! {
-        /// Messages refused: malformed, oversized or of another deployment.
+        /// Returns the number of messages refused as malformed, oversized or of another deployment.
         refused, add_refused
     }
     counter! {
-        /// Connections accepted.
+        /// Returns the number of connections accepted from other nodes.
         connections_in, add_connections_in
     }
     counter! {
-        /// Connections opened.
+        /// Returns the number of connections opened to other nodes.
         connections_out, add_connections_out
     }
     counter! {
-        /// Connections refused for a limit.
+        /// Returns the number of connections closed on arrival because a limit was reached.
         connections_refused, add_connections_refused
     }
 
-    /// Counts bytes that another socket of the control plane received, such as the platform client.
+    /// Adds bytes received by a control traffic socket outside this crate, such as the platform
+    /// client's.
     pub fn received(&self, bytes: u64) {
         self.add_bytes_in(bytes);
     }
 
-    /// Counts bytes that another socket of the control plane sent, such as the platform client.
+    /// Adds bytes sent by a control traffic socket outside this crate, such as the platform
+    /// client's.
     pub fn sent(&self, bytes: u64) {
         self.add_bytes_out(bytes);
     }
--- a/crates/sycamore-peer/src/datagram.rs
+++ b/crates/sycamore-peer/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes: probes and pushed news.
+//! UDP socket for the membership protocol: probes between nodes and pushed members and facts.
 
 use crate::codec::{decode_packet, deployment_tag, encode_packet};
 use crate::counters::{Counters, DATAGRAM_HEADER_BYTES};
@@ -11,26 +11,27 @@
 use sycamore_member::message::Packet;
 use sycamore_types::prelude::*;
 
-/// A bound datagram socket of one deployment.
+/// UDP socket that sends and accepts packets of one deployment only.
 pub struct Datagrams {
     socket: UdpSocket,
     tag: u64,
     counters: Arc<Counters>,
 }
 
-/// A packet that came in.
+/// Packet received from another node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Received {
-    /// The packet.
+    /// The decoded packet.
     pub packet: Packet,
-    /// The sender's clock when it sent it.
+    /// Reading of the sender's hybrid logical clock when it sent the packet; zero where the packet
+    /// carries none.
     pub at: Stamp,
-    /// Where it came from.
+    /// Source address of the datagram.
     pub from: SocketAddr,
 }
 
 impl Datagrams {
-    /// Binds `address`.
+    /// Binds a UDP socket to `address` for the packets of `deployment`.
     ///
     /// # Errors
     /// [`Error::Socket`] where the address can't be bound.
@@ -43,19 +44,20 @@
         Ok(Self { socket, tag: deployment_tag(deployment), counters })
     }
 
-    /// The address that the socket is bound to.
+    /// Returns the local address of the socket, with the port that the system chose.
     ///
     /// # Errors
-    /// [`Error::Socket`] where the system doesn't tell.
+    /// [`Error::Socket`] where the operating system reports no address.
     pub fn local_addr(&self) -> Result<SocketAddr> {
         self.socket.local_addr().change_context(Error::Socket)
     }
 
-    /// Sends `packet` at `at` to `to`. A datagram that the system drops is not reported.
+    /// Sends `packet` to `to`, stamped with the clock reading `at`. Loss of the datagram after the
+    /// operating system accepted it is not reported.
     ///
     /// # Errors
     /// [`Error::Malformed`] where the packet exceeds its bounds, [`Error::Socket`] where the
-    /// system refuses it.
+    /// operating system refuses to send it.
     pub async fn send(&self, packet: &Packet, at: Stamp, to: SocketAddr) -> Result<()> {
         let buf = encode_packet(packet, at, self.tag)?;
         let len = buf.len() as u64;
@@ -65,20 +67,21 @@
         Ok(())
     }
 
-    /// The next well-formed packet of this deployment. Others are counted as
-    /// refused and skipped.
+    /// Waits for the next well-formed packet of this deployment. Malformed, oversized and foreign
+    /// datagrams are counted as refused and skipped.
     ///
     /// # Errors
     /// [`Error::Socket`] where the socket fails.
     pub async fn recv(&self) -> Result<Received> {
-        // One byte more than allowed tells an oversized datagram from a full one.
+        // One byte more than the bound, because the system cuts longer datagrams to the buffer: a
+        // full buffer then means an oversized datagram.
         let mut buf = vec![0; MAX_PACKET_BYTES + 1];
         loop {
             let (received, back) = self.socket.recv_from(buf).await;
             buf = back;
             let (len, from) = match received {
                 Ok(received) => received,
-                // An earlier datagram met a closed port; the socket itself is well.
+                // An earlier datagram of this socket reached a closed port; the socket remains usable.
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => continue,
                 Err(e) => return Err(e).change_context(Error::Socket),
             };
--- a/crates/sycamore-peer/src/io.rs
+++ b/crates/sycamore-peer/src/io.rs
@@ -1,4 +1,4 @@
-//! A stream that counts the bytes it carries.
+//! TCP stream wrapper that counts the bytes read and written.
 
 use crate::counters::Counters;
 use monoio::io::poll_io::{AsyncRead, AsyncWrite, ReadBuf};
@@ -10,15 +10,15 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-/// A connected stream whose bytes are counted.
-pub(crate) struct Counted {
+/// TCP stream that adds its traffic to the [`Counters`] and records whether bytes arrived.
+pub(crate) struct CountedStream {
     stream: TcpStreamPoll,
     counters: Arc<Counters>,
     active: Rc<Cell<bool>>,
 }
 
-impl Counted {
-    /// Wraps `stream`; `active` is set whenever bytes arrive.
+impl CountedStream {
+    /// Wraps `stream`; every read of at least one byte sets `active`, which idle detection clears.
     pub(crate) fn new(
         stream: TcpStreamPoll,
         counters: Arc<Counters>,
@@ -28,7 +28,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -45,7 +45,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/sycamore-peer/src/lib.rs
+++ b/crates/sycamore-peer/src/lib.rs
@@ -1,4 +1,5 @@
-//! Messages between nodes and their transport: datagrams, and tonic over monoio.
+//! Encodes the messages that nodes send to each other and carries them: membership datagrams over
+//! UDP, and gRPC calls (tonic) on the monoio runtime.
 
 pub mod client;
 pub mod codec;
@@ -14,28 +15,28 @@
 pub use datagram::{Datagrams, Received};
 pub use server::{serve, Call, Evidence, Inbox, Objects, Server, ServerOptions};
 
-/// Why a message was not sent, not answered or not accepted.
+/// Error of sending, answering or decoding a message between nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// No connection could be opened in time.
-    #[error("no connection to the peer")]
+    /// Connecting to the peer failed or took longer than the connect timeout.
+    #[error("could not connect to the peer")]
     Connect,
-    /// The peer did not answer in time.
-    #[error("the peer did not answer in time")]
+    /// The peer did not answer a call within the call timeout.
+    #[error("the peer did not answer within the call timeout")]
     Timeout,
-    /// The peer refused the call, or the connection broke.
-    #[error("the peer refused the call or the connection broke")]
+    /// The peer refused the call, or the connection closed before the answer.
+    #[error("the peer refused the call or the connection closed")]
     Call,
-    /// A message is malformed or exceeds a limit.
+    /// A message is malformed or exceeds a bound of [`limits`].
     #[error("malformed or oversized message")]
     Malformed,
-    /// A message of another deployment.
-    #[error("message of another deployment")]
+    /// The message, or the peer that answered, belongs to another deployment.
+    #[error("the message belongs to another deployment")]
     Deployment,
-    /// The socket failed.
-    #[error("socket failed")]
+    /// The operating system reported an error on the datagram socket.
+    #[error("datagram socket failed")]
     Socket,
 }
 
-/// Result of this crate's operations.
+/// Result of sending, answering or decoding a message between nodes.
 pub type Result<T> = std::result::Result<T, error_stack::Report<Error>>;
--- a/crates/sycamore-peer/src/server/mod.rs
+++ b/crates/sycamore-peer/src/server/mod.rs
@@ -1,11 +1,11 @@
-//! The peer listener: accepts connections within limits and hands each call to the loop that
-//! answers it.
+//! Peer listener: accepts connections of other nodes within limits and queues their calls in the
+//! [`Inbox`].
 
 mod service;
 
 pub use service::{Call, Evidence, Inbox, Objects, Server};
 
-use crate::io::Counted;
+use crate::io::CountedStream;
 use crate::limits::MAX_MESSAGE_BYTES;
 use crate::proto::peer_server::PeerServer;
 use crate::Counters;
@@ -22,25 +22,29 @@
 use std::time::{Duration, Instant};
 use tonic::body::Body;
 
-/// Metadata that names the calling instance.
+/// Header (gRPC metadata key) that names the calling instance.
 pub const FROM_HEADER: &str = "x-shift-from";
-/// Flow control window of a stream and of a connection, in bytes.
+/// HTTP/2 flow control window of a stream and of a connection, in bytes.
 pub(crate) const HTTP2_WINDOW_BYTES: u32 = 128 << 10;
-/// Bytes buffered for sending per stream.
-pub(crate) const HTTP2_BUFFER_BYTES: usize = 32 << 10;
-/// Calls under way on one connection.
-const HTTP2_STREAMS: u32 = 16;
-/// Bytes of headers of one call.
-const HTTP2_HEADER_BYTES: u32 = 4 << 10;
+/// Largest number of bytes buffered for sending per HTTP/2 stream.
+pub(crate) const HTTP2_SEND_BUFFER_BYTES: usize = 32 << 10;
+/// Largest number of concurrent calls on one connection.
+const MAX_HTTP2_STREAMS: u32 = 16;
+/// Largest size of the headers of one call, in bytes.
+const MAX_HTTP2_HEADER_BYTES: u32 = 4 << 10;
+/// Pause after a failed accept.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Limits of the peer listener.
 #[derive(Debug, Clone)]
 pub struct ServerOptions {
-    /// Connections open at once; more are closed at once and counted.
+    /// Largest number of open connections; further ones are closed on arrival and counted.
     pub connections: usize,
-    /// Connections accepted per second, after a burst of as many.
+    /// Largest number of connections accepted per second, and in one burst; further ones are closed
+    /// on arrival and counted.
     pub accepts_per_s: u32,
-    /// Connections without traffic for this long are closed.
+    /// Time without received bytes after which a connection is closed. It is checked once per
+    /// period, so that a connection may stay open for up to twice as long.
     pub idle: Duration,
 }
 
@@ -50,7 +54,8 @@
     }
 }
 
-/// Accepts connections on `listener` until `stop` completes, then ends and joins all of them.
+/// Accepts connections on `listener` until `stop` completes, then closes all connections and waits
+/// until their tasks have ended.
 pub async fn serve(
     listener: TcpListener,
     server: Server,
@@ -58,52 +63,56 @@
     stop: impl Future<Output = ()> + 'static,
 ) {
     let stop = stop.boxed_local().shared();
-    let mut accepted = Accepted::new(options);
+    let mut connections = Connections::new(options);
     loop {
         let stream = monoio::select! {
             () = stop.clone() => break,
             accepted = listener.accept() => accepted,
         };
         match stream {
-            Ok((stream, _)) if accepted.admit() => accepted.spawn(stream, &server, stop.clone()),
+            Ok((stream, _)) if connections.admit() => {
+                connections.spawn(stream, &server, stop.clone())
+            }
             Ok(_) => server.counters().add_connections_refused(1),
-            // Out of descriptors, or the caller has gone: pause, so as not to spin.
-            Err(_) => monoio::time::sleep(Duration::from_millis(50)).await,
+            // Accepting fails where the process is out of file descriptors or the caller has closed
+            // the connection; without a pause, a lasting failure would be a busy loop.
+            Err(_) => monoio::time::sleep(ACCEPT_RETRY_PAUSE).await,
         }
     }
-    for connection in accepted.connections {
-        connection.await;
+    for task in connections.tasks {
+        task.await;
     }
 }
 
-/// The connections under way, and how many more may come.
-struct Accepted {
+/// Open connections and the token bucket that limits the rate of new ones.
+struct Connections {
     options: ServerOptions,
-    connections: Vec<JoinHandle<()>>,
+    tasks: Vec<JoinHandle<()>>,
     tokens: f64,
-    refilled: Instant,
+    refilled_at: Instant,
 }
 
-impl Accepted {
+impl Connections {
     fn new(options: ServerOptions) -> Self {
         let tokens = f64::from(options.accepts_per_s);
-        Self { options, connections: Vec::new(), tokens, refilled: Instant::now() }
+        Self { options, tasks: Vec::new(), tokens, refilled_at: Instant::now() }
     }
 
-    /// Whether one more connection fits the limits.
+    /// Takes a token for a new connection; returns whether the connection is within the limits.
     fn admit(&mut self) -> bool {
-        self.connections.retain(|connection| !connection.is_finished());
+        self.tasks.retain(|task| !task.is_finished());
         let rate = f64::from(self.options.accepts_per_s);
-        let gained = self.refilled.elapsed().as_secs_f64() * rate;
-        self.refilled = Instant::now();
-        self.tokens = (self.tokens + gained).min(rate);
-        if self.connections.len() >= self.options.connections || self.tokens < 1.0 {
+        let refill = self.refilled_at.elapsed().as_secs_f64() * rate;
+        self.refilled_at = Instant::now();
+        self.tokens = (self.tokens + refill).min(rate);
+        if self.tasks.len() >= self.options.connections || self.tokens < 1.0 {
             return false;
         }
         self.tokens -= 1.0;
         true
     }
 
+    /// Starts the task that serves an accepted connection.
     fn spawn(
         &mut self,
         stream: TcpStream,
@@ -113,12 +122,13 @@
         let counters = server.counters().clone();
         counters.add_connections_in(1);
         let idle = self.options.idle;
-        let connection = connection(stream, server.clone(), counters, idle, stop);
-        self.connections.push(monoio::spawn(connection));
+        let serving = serve_connection(stream, server.clone(), counters, idle, stop);
+        self.tasks.push(monoio::spawn(serving));
     }
 }
 
-async fn connection(
+/// Serves one connection until it ends, has received no bytes for `idle`, or `stop` completes.
+async fn serve_connection(
     stream: TcpStream,
     server: Server,
     counters: Arc<Counters>,
@@ -128,7 +138,7 @@
     let Ok(()) = stream.set_nodelay(true) else { return };
     let Ok(stream) = stream.into_poll_io() else { return };
     let active = Rc::new(Cell::new(true));
-    let io = MonoioIo::new(Counted::new(stream, counters, active.clone()));
+    let io = MonoioIo::new(CountedStream::new(stream, counters, active.clone()));
     let service = PeerServer::new(server)
         .max_decoding_message_size(MAX_MESSAGE_BYTES)
         .max_encoding_message_size(MAX_MESSAGE_BYTES);
@@ -136,20 +146,20 @@
     let serving = hyper::server::conn::http2::Builder::new(MonoioExecutor)
         .initial_stream_window_size(HTTP2_WINDOW_BYTES)
         .initial_connection_window_size(HTTP2_WINDOW_BYTES)
-        .max_send_buf_size(HTTP2_BUFFER_BYTES)
-        .max_concurrent_streams(HTTP2_STREAMS)
-        .max_header_list_size(HTTP2_HEADER_BYTES)
+        .max_send_buf_size(HTTP2_SEND_BUFFER_BYTES)
+        .max_concurrent_streams(MAX_HTTP2_STREAMS)
+        .max_header_list_size(MAX_HTTP2_HEADER_BYTES)
         .auto_date_header(false)
         .serve_connection::<_, _, Body>(io, service);
     monoio::select! {
         _ = serving => {}
         () = stop => {}
-        () = watch_idle(&active, idle) => {}
+        () = wait_until_idle(&active, idle) => {}
     }
 }
 
-/// Completes once no bytes have arrived for `idle`.
-async fn watch_idle(active: &Cell<bool>, idle: Duration) {
+/// Completes when no bytes have arrived during a whole period of `idle`; reads set `active`.
+async fn wait_until_idle(active: &Cell<bool>, idle: Duration) {
     while active.replace(false) {
         monoio::time::sleep(idle).await;
     }
--- a/crates/sycamore-peer/src/server/service.rs
+++ b/crates/sycamore-peer/src/server/service.rs
@@ -1,4 +1,4 @@
-//! The generated service's handlers: check, hand over to the loop, wait for its answer.
+//! Handlers of the generated gRPC service: check a call, queue it for the node, wait for the answer.
 
 use super::FROM_HEADER;
 use crate::codec;
@@ -14,62 +14,65 @@
 use sycamore_types::prelude::*;
 use tonic::{Request, Response, Status};
 
-/// Calls of one kind that wait for their loop at most.
-const QUEUE_CALLS: usize = 64;
+/// Largest number of queued calls of one kind; further ones are refused.
+const MAX_QUEUED_CALLS: usize = 64;
 
-/// Objects with the hashes that name them.
+/// Configuration objects with their content hashes.
 pub type Objects = Vec<(ContentHash, Bytes)>;
 
-/// A call from another node, waiting for its answer. Dropped without one, it fails at the caller.
+/// Call from another node that waits for an answer; it fails at the caller where `tx` is dropped
+/// unused.
 #[derive(Debug)]
 pub struct Call<Q, A> {
     /// The calling instance.
     pub from: InstanceId,
-    /// What it asks.
+    /// The decoded request.
     pub body: Q,
-    /// Takes the answer.
+    /// Sends the answer to the handler.
     pub tx: oneshot::Sender<A>,
 }
 
-/// An evidence summary; its layout is its sender's and receiver's.
+/// Evidence summary: call outcomes that a node counted for release moves. This crate carries the
+/// body without decoding it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Evidence {
-    /// Names the layout of the body.
+    /// Number of the body's format.
     pub kind: u32,
-    /// The summary, at most [`MAX_EVIDENCE_BYTES`].
+    /// The encoded summary, at most [`MAX_EVIDENCE_BYTES`].
     pub body: Bytes,
 }
 
-/// Where the calls of each kind arrive.
+/// Receivers of the calls from other nodes, one queue for each kind.
 pub struct Inbox {
-    /// Comparisons of tables.
+    /// Comparisons of membership tables.
     pub exchange: mpsc::Receiver<Call<ExchangeRequest, ExchangeReply>>,
-    /// Objects asked for by hash; the answer is cut to [`MAX_FETCH_BYTES`].
+    /// Requests for configuration objects by content hash; the reply has the first objects of the
+    /// answer that together fit into [`MAX_FETCH_BYTES`].
     pub fetch: mpsc::Receiver<Call<Vec<ContentHash>, Objects>>,
-    /// Questions for the highest configuration head seen.
+    /// Requests for the highest configuration head seen.
     pub head: mpsc::Receiver<Call<(), Option<ConfigHead>>>,
-    /// Evidence summaries.
+    /// Deliveries of evidence summaries.
     pub evidence: mpsc::Receiver<Call<Evidence, Bytes>>,
 }
 
-/// The handlers; cheap to clone, one per connection.
+/// Handlers of the peer service; each connection has a clone.
 #[derive(Clone)]
 pub struct Server {
     deployment: Deployment,
     counters: Arc<Counters>,
-    exchange: Handover<ExchangeRequest, ExchangeReply>,
-    fetch: Handover<Vec<ContentHash>, Objects>,
-    head: Handover<(), Option<ConfigHead>>,
-    evidence: Handover<Evidence, Bytes>,
+    exchange: CallQueue<ExchangeRequest, ExchangeReply>,
+    fetch: CallQueue<Vec<ContentHash>, Objects>,
+    head: CallQueue<(), Option<ConfigHead>>,
+    evidence: CallQueue<Evidence, Bytes>,
 }
 
 impl Server {
-    /// The handlers of `deployment`, with the inbox that their calls go to.
+    /// Creates the handlers for calls of `deployment`, and the inbox that receives the calls.
     pub fn new(deployment: Deployment, counters: Arc<Counters>) -> (Self, Inbox) {
-        let (exchange, exchange_rx) = Handover::new();
-        let (fetch, fetch_rx) = Handover::new();
-        let (head, head_rx) = Handover::new();
-        let (evidence, evidence_rx) = Handover::new();
+        let (exchange, exchange_rx) = CallQueue::new();
+        let (fetch, fetch_rx) = CallQueue::new();
+        let (head, head_rx) = CallQueue::new();
+        let (evidence, evidence_rx) = CallQueue::new();
         let server = Self { deployment, counters, exchange, fetch, head, evidence };
         let inbox =
             Inbox { exchange: exchange_rx, fetch: fetch_rx, head: head_rx, evidence: evidence_rx };
@@ -80,49 +83,57 @@
         &self.counters
     }
 
-    /// The calling instance, where the call is of this deployment.
-    fn caller<T>(&self, req: &Request<T>) -> Result<InstanceId, Status> {
-        let text = |name| req.metadata().get(name).and_then(|value| value.to_str().ok());
-        if text(DEPLOYMENT) != Some(self.deployment.as_str()) {
+    /// Returns the calling instance.
+    ///
+    /// # Errors
+    /// Permission denied where the call belongs to another deployment, invalid argument where it
+    /// names no valid instance; both count as refused.
+    fn identify_caller<T>(&self, req: &Request<T>) -> Result<InstanceId, Status> {
+        let header = |name| req.metadata().get(name).and_then(|value| value.to_str().ok());
+        if header(DEPLOYMENT) != Some(self.deployment.as_str()) {
             self.counters.add_refused(1);
             return Err(Status::permission_denied("another deployment"));
         }
-        let from = text(FROM_HEADER).and_then(|from| InstanceId::new(from).ok());
+        let from = header(FROM_HEADER).and_then(|from| InstanceId::new(from).ok());
         from.ok_or_else(|| self.malformed("caller's instance"))
     }
 
+    /// Counts a refused message and returns the status for it.
     fn malformed(&self, what: &'static str) -> Status {
         self.counters.add_refused(1);
         Status::invalid_argument(what)
     }
 }
 
-/// The way from the handlers to the loop. One sender is shared, because each clone of a sender
-/// would widen the channel's bound.
-struct Handover<Q, A> {
+/// Bounded queue from the handlers to the [`Inbox`]. All handlers share one sender, because each
+/// clone of a sender would add a slot to the channel.
+struct CallQueue<Q, A> {
     tx: Arc<Mutex<mpsc::Sender<Call<Q, A>>>>,
 }
 
-impl<Q, A> Clone for Handover<Q, A> {
+impl<Q, A> Clone for CallQueue<Q, A> {
     fn clone(&self) -> Self {
         Self { tx: self.tx.clone() }
     }
 }
 
-impl<Q, A> Handover<Q, A> {
+impl<Q, A> CallQueue<Q, A> {
     fn new() -> (Self, mpsc::Receiver<Call<Q, A>>) {
-        let (tx, rx) = mpsc::channel(QUEUE_CALLS);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_CALLS);
         (Self { tx: Arc::new(Mutex::new(tx)) }, rx)
     }
 
-    /// Hands a call over and waits for its answer.
+    /// Queues a call and waits for its answer.
+    ///
+    /// # Errors
+    /// Resource exhausted where the queue is full, unavailable where the call is dropped unanswered.
     async fn call(&self, from: InstanceId, body: Q) -> Result<A, Status> {
         let (tx, rx) = oneshot::channel();
-        self.send(Call { from, body, tx })?;
+        self.enqueue(Call { from, body, tx })?;
         rx.await.map_err(|_| Status::unavailable("not answered"))
     }
 
-    fn send(&self, call: Call<Q, A>) -> Result<(), Status> {
+    fn enqueue(&self, call: Call<Q, A>) -> Result<(), Status> {
         let mut tx = self.tx.lock().map_err(|_| Status::internal("a handler failed"))?;
         tx.try_send(call).map_err(|_| Status::resource_exhausted("too many calls"))
     }
@@ -134,7 +145,7 @@
         &self,
         req: Request<proto::ExchangeRequest>,
     ) -> Result<Response<proto::ExchangeReply>, Status> {
-        let from = self.caller(&req)?;
+        let from = self.identify_caller(&req)?;
         let body = codec::request_from_wire(req.into_inner())
             .map_err(|_| self.malformed("exchange request"))?;
         let reply = self.exchange.call(from, body).await?;
@@ -145,17 +156,17 @@
         &self,
         req: Request<proto::FetchRequest>,
     ) -> Result<Response<proto::FetchReply>, Status> {
-        let from = self.caller(&req)?;
-        let hashes = hashes(&req.into_inner()).ok_or_else(|| self.malformed("hashes"))?;
+        let from = self.identify_caller(&req)?;
+        let hashes = parse_hashes(&req.into_inner()).ok_or_else(|| self.malformed("hashes"))?;
         let objects = self.fetch.call(from, hashes).await?;
-        Ok(Response::new(proto::FetchReply { objects: fitting(objects) }))
+        Ok(Response::new(proto::FetchReply { objects: take_fitting(objects) }))
     }
 
     async fn head(
         &self,
         req: Request<proto::HeadRequest>,
     ) -> Result<Response<proto::HeadReply>, Status> {
-        let from = self.caller(&req)?;
+        let from = self.identify_caller(&req)?;
         let head = self.head.call(from, ()).await?;
         Ok(Response::new(proto::HeadReply { head: head.as_ref().map(codec::head_to_wire) }))
     }
@@ -164,7 +175,7 @@
         &self,
         req: Request<proto::EvidenceRequest>,
     ) -> Result<Response<proto::EvidenceReply>, Status> {
-        let from = self.caller(&req)?;
+        let from = self.identify_caller(&req)?;
         let proto::EvidenceRequest { kind, body } = req.into_inner();
         if body.len() > MAX_EVIDENCE_BYTES {
             return Err(self.malformed("evidence too large"));
@@ -174,20 +185,22 @@
     }
 }
 
-fn hashes(req: &proto::FetchRequest) -> Option<Vec<ContentHash>> {
+/// Returns the hashes of a fetch request, or `None` where there are more than [`MAX_FETCH_HASHES`]
+/// or one is not 32 bytes long.
+fn parse_hashes(req: &proto::FetchRequest) -> Option<Vec<ContentHash>> {
     if req.hashes.len() > MAX_FETCH_HASHES {
         return None;
     }
     req.hashes.iter().map(|hash| hash.as_ref().try_into().ok().map(ContentHash)).collect()
 }
 
-/// The first objects that together stay within [`MAX_FETCH_BYTES`].
-fn fitting(objects: Objects) -> Vec<proto::Object> {
-    let mut left = MAX_FETCH_BYTES;
+/// Converts the first objects that together fit into [`MAX_FETCH_BYTES`].
+fn take_fitting(objects: Objects) -> Vec<proto::Object> {
+    let mut remaining = MAX_FETCH_BYTES;
     let mut fitting = Vec::with_capacity(objects.len());
     for (hash, body) in objects {
-        let Some(rest) = left.checked_sub(body.len()) else { break };
-        left = rest;
+        let Some(rest) = remaining.checked_sub(body.len()) else { break };
+        remaining = rest;
         fitting.push(proto::Object { hash: Bytes::copy_from_slice(&hash.0), body });
     }
     fitting
--- a/crates/sycamore-peer/tests/codec.rs
+++ b/crates/sycamore-peer/tests/codec.rs
@@ -1,4 +1,5 @@
-//! The codec: whatever can be sent is read back the same, and anything else is an error.
+//! Tests of the codec: messages survive encoding and decoding unchanged, and malformed, oversized or
+//! foreign input is an error.
 #![allow(clippy::unwrap_used)]
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
@@ -14,13 +15,15 @@
 use sycamore_peer::Error;
 use sycamore_types::prelude::*;
 
+/// Packet with arbitrary content, for quickcheck.
 #[derive(Debug, Clone)]
-struct AnyPacket(Packet);
+struct ArbitraryPacket(Packet);
 
+/// Item with arbitrary content, for quickcheck.
 #[derive(Debug, Clone)]
-struct AnyItem(Item);
+struct ArbitraryItem(Item);
 
-fn id<T: std::str::FromStr>(g: &mut Gen) -> T
+fn arbitrary_id<T: std::str::FromStr>(g: &mut Gen) -> T
 where
     T::Err: std::fmt::Debug,
 {
@@ -30,21 +33,26 @@
     text.parse().unwrap()
 }
 
-fn stamp(g: &mut Gen) -> Stamp {
+fn arbitrary_stamp(g: &mut Gen) -> Stamp {
     Stamp { wall: WallTime(u64::arbitrary(g)), logical: u32::arbitrary(g) }
 }
 
-fn fact(g: &mut Gen) -> Fact {
+fn arbitrary_fact(g: &mut Gen) -> Fact {
     let until = WallTime(u64::arbitrary(g));
     match u8::arbitrary(g) % 7 {
         0 => Fact::BadVersion {
-            service: id(g),
-            version: id(g),
-            by: id(g),
+            service: arbitrary_id(g),
+            version: arbitrary_id(g),
+            by: arbitrary_id(g),
             reason: String::from("errors on the route"),
-            at: stamp(g),
+            at: arbitrary_stamp(g),
+        },
+        1 => Fact::Aborted {
+            by: arbitrary_id(g),
+            service: arbitrary_id(g),
+            version: arbitrary_id(g),
+            at: arbitrary_stamp(g),
         },
-        1 => Fact::Aborted { by: id(g), service: id(g), version: id(g), at: stamp(g) },
         2 => Fact::Quarantined { fingerprint: Fingerprint(u64::arbitrary(g)), until },
         3 => Fact::CrashSeen {
             fingerprint: Fingerprint(u64::arbitrary(g)),
@@ -56,16 +64,21 @@
             manifest: ContentHash::of(&[u8::arbitrary(g)]),
         }),
         5 => Fact::MoveRow {
-            mv: id(g),
+            mv: arbitrary_id(g),
             revision: u64::arbitrary(g),
             row: String::from("{\"share\":100}"),
             until,
         },
-        _ => Fact::Cleared { by: id(g), step: u16::arbitrary(g), at: stamp(g), until },
+        _ => Fact::Cleared {
+            by: arbitrary_id(g),
+            step: u16::arbitrary(g),
+            at: arbitrary_stamp(g),
+            until,
+        },
     }
 }
 
-fn member(g: &mut Gen) -> Member {
+fn arbitrary_member(g: &mut Gen) -> Member {
     let states = [
         MemberState::Joining,
         MemberState::Serving,
@@ -74,13 +87,13 @@
         MemberState::Dead,
     ];
     Member {
-        instance: id(g),
+        instance: arbitrary_id(g),
         incarnation: Incarnation(u64::arbitrary(g)),
         state: *g.choose(&states).unwrap(),
-        service: id(g),
-        version: id(g),
-        data_centre: id(g),
-        region: id(g),
+        service: arbitrary_id(g),
+        version: arbitrary_id(g),
+        data_centre: arbitrary_id(g),
+        region: arbitrary_id(g),
         endpoints: Endpoints {
             peer: SocketAddr::from(([10, 1, u8::arbitrary(g), 3], u16::arbitrary(g))),
             relay: SocketAddr::from(([0u16, 0, 0, 0, 0, 0, 0, u16::arbitrary(g)], 9)),
@@ -89,31 +102,31 @@
     }
 }
 
-impl Arbitrary for AnyItem {
+impl Arbitrary for ArbitraryItem {
     fn arbitrary(g: &mut Gen) -> Self {
-        AnyItem(match u8::arbitrary(g) % 3 {
-            0 => Item::Member(member(g)),
-            1 => Item::Fact(fact(g)),
+        ArbitraryItem(match u8::arbitrary(g) % 3 {
+            0 => Item::Member(arbitrary_member(g)),
+            1 => Item::Fact(arbitrary_fact(g)),
             _ => {
-                let Member { instance, incarnation, state, .. } = member(g);
+                let Member { instance, incarnation, state, .. } = arbitrary_member(g);
                 Item::Brief(Brief { instance, incarnation, state })
             }
         })
     }
 }
 
-impl Arbitrary for AnyPacket {
+impl Arbitrary for ArbitraryPacket {
     fn arbitrary(g: &mut Gen) -> Self {
         let (seq, digest) = (u32::arbitrary(g), Digest::from(u64::arbitrary(g)));
         let body = match u8::arbitrary(g) % 5 {
             0 => Body::Ping { seq, digest },
             1 => Body::Ack { seq, digest },
-            2 => Body::PingRequest { seq, target: id(g) },
+            2 => Body::PingRequest { seq, target: arbitrary_id(g) },
             3 => Body::Nack { seq },
             _ => Body::Push,
         };
-        let items = (0..usize::arbitrary(g) % 8).map(|_| AnyItem::arbitrary(g).0).collect();
-        AnyPacket(Packet { from: id(g), body, items })
+        let items = (0..usize::arbitrary(g) % 8).map(|_| ArbitraryItem::arbitrary(g).0).collect();
+        ArbitraryPacket(Packet { from: arbitrary_id(g), body, items })
     }
 }
 
@@ -124,19 +137,27 @@
 }
 
 quickcheck! {
-    fn packets_come_back_the_same(packet: AnyPacket, wall: u64, logical: u32) -> bool {
+    /// Guards against a packet field or clock reading that is lost or changed on the way.
+    fn packets_survive_encoding(packet: ArbitraryPacket, wall: u64, logical: u32) -> bool {
         let at = Stamp { wall: WallTime(wall), logical };
         let buf = encode_packet(&packet.0, at, tag()).unwrap();
         decode_packet(&buf, tag()).unwrap() == (packet.0, at)
     }
 
-    fn items_come_back_the_same(item: AnyItem) -> bool {
+    /// Guards against a field that one direction of the conversion leaves out: every kind of item is
+    /// converted to its message and back.
+    fn items_survive_conversion(item: ArbitraryItem) -> bool {
         item_from_wire(item_to_wire(&item.0)).unwrap() == item.0
     }
 
-    fn exchanges_come_back_the_same(first: bool, buckets: Vec<u32>, items: Vec<AnyItem>) -> bool {
+    /// Guards against a field of an exchange request or reply that the conversion loses.
+    fn exchanges_survive_conversion(
+        facts_only: bool,
+        buckets: Vec<u32>,
+        items: Vec<ArbitraryItem>
+    ) -> bool {
         let items: Vec<Item> = items.into_iter().map(|item| item.0).collect();
-        let scope = if first { Scope::Facts } else { Scope::All };
+        let scope = if facts_only { Scope::Facts } else { Scope::All };
         let req =
             ExchangeRequest { buckets: buckets.clone(), first: 3, items: items.clone(), scope };
         let reply = ExchangeReply { differing: buckets, items, next: Some(4) };
@@ -144,32 +165,39 @@
             && reply_from_wire(reply_to_wire(&reply)).unwrap() == reply
     }
 
-    fn size_bounds_the_encoding(item: AnyItem) -> bool {
+    /// Guards against packets over the size bound: senders fill them by [`Item::size`], so it must
+    /// not be below an item's encoded size.
+    fn item_size_is_at_least_its_encoded_size(item: ArbitraryItem) -> bool {
         let packet = |items| Packet { from: "a".parse().unwrap(), body: Body::Push, items };
-        let with = encode_packet(&packet(vec![item.0.clone()]), AT, tag()).unwrap().len();
-        let without = encode_packet(&packet(Vec::new()), AT, tag()).unwrap().len();
-        with - without <= item.0.size()
+        let with_item = encode_packet(&packet(vec![item.0.clone()]), AT, tag()).unwrap().len();
+        let empty = encode_packet(&packet(Vec::new()), AT, tag()).unwrap().len();
+        with_item - empty <= item.0.size()
     }
 
-    fn garbage_never_panics(buf: Vec<u8>) -> bool {
+    /// Guards against a panic on datagrams that are no packets: arbitrary bytes are decoded.
+    fn decoding_arbitrary_bytes_never_panics(buf: Vec<u8>) -> bool {
         decode_packet(&buf, tag()).is_err() || !buf.is_empty()
     }
 
-    fn cut_packets_never_panic(packet: AnyPacket, cut: usize) -> bool {
+    /// Guards against a panic on truncated datagrams: a packet is cut at an arbitrary place.
+    fn decoding_truncated_packets_never_panics(packet: ArbitraryPacket, cut: usize) -> bool {
         let buf = encode_packet(&packet.0, AT, tag()).unwrap();
         let cut = cut % buf.len();
         decode_packet(&buf[..cut], tag()).is_err() || cut > 0
     }
 }
 
+/// Guards against accepting a datagram that carries another deployment's tag.
 #[test]
-fn another_deployment_is_refused() {
+fn packet_of_another_deployment_is_refused() {
     let packet = Packet { from: "a".parse().unwrap(), body: Body::Push, items: Vec::new() };
     let other = deployment_tag(&Deployment::new("sutokatha").unwrap());
     let refused = decode_packet(&encode_packet(&packet, AT, other).unwrap(), tag()).unwrap_err();
     assert_eq!(*refused.current_context(), Error::Deployment);
 }
 
+/// Guards against unbounded work for one message: a datagram one byte and an exchange request one
+/// item over the bound.
 #[test]
 fn oversized_messages_are_refused() {
     let buf = vec![0; MAX_PACKET_BYTES + 1];
--- a/crates/sycamore-peer/tests/transport.rs
+++ b/crates/sycamore-peer/tests/transport.rs
@@ -1,4 +1,4 @@
-//! Calls and datagrams over loopback sockets.
+//! Tests of calls and datagrams between nodes over loopback sockets.
 #![allow(clippy::unwrap_used)]
 
 use bytes::Bytes;
@@ -18,7 +18,8 @@
 };
 use sycamore_types::prelude::*;
 
-fn run<T>(test: impl Future<Output = T>) -> T {
+/// Runs `test` on a runtime of its own.
+fn block_on<T>(test: impl Future<Output = T>) -> T {
     RuntimeBuilder::<LegacyDriver>::new().enable_timer().build().unwrap().block_on(test)
 }
 
@@ -26,9 +27,11 @@
     Deployment::new(name).unwrap()
 }
 
+/// Peer listener of deployment `klupa` on a loopback port.
 struct Node {
     address: SocketAddr,
     counters: Arc<Counters>,
+    /// Receivers of the listener's calls; `None` once a test has taken them.
     inbox: Option<Inbox>,
     stop: oneshot::Sender<()>,
     serving: monoio::task::JoinHandle<()>,
@@ -48,13 +51,15 @@
         Self { address, counters, inbox: Some(inbox), stop, serving }
     }
 
-    async fn end(self) {
+    /// Stops the listener and waits for its task.
+    async fn stop(self) {
         self.stop.send(()).unwrap();
         self.serving.await;
     }
 }
 
-fn peers(name: &str) -> Peers {
+/// Creates a client of instance `a` in the deployment called `name`.
+fn client(name: &str) -> Peers {
     let options = PeersOptions { call_timeout: Duration::from_secs(20), ..PeersOptions::default() };
     Peers::new(deployment(name), "a".parse().unwrap(), options, Arc::default())
 }
@@ -63,7 +68,8 @@
     ConfigHead { version: ConfigVersion(7), manifest: ContentHash::of(b"manifest") }
 }
 
-fn answer(mut inbox: Inbox, store: Vec<Bytes>) {
+/// Answers the calls of every kind; fetches from `store`, evidence with its own body.
+fn answer_calls(mut inbox: Inbox, store: Vec<Bytes>) {
     monoio::spawn(async move {
         while let Some(call) = inbox.exchange.next().await {
             let next = Some(call.body.first + 1);
@@ -88,13 +94,15 @@
     });
 }
 
+/// Guards against a kind of call whose request or reply is lost between client and inbox, and against
+/// a connection for each call.
 #[test]
-fn each_kind_of_call_is_answered() {
-    run(async {
+fn each_kind_of_call_is_answered_over_one_connection() {
+    block_on(async {
         let mut node = Node::start(ServerOptions::default());
         let store = vec![Bytes::from("one"), Bytes::from("two")];
-        answer(node.inbox.take().unwrap(), store.clone());
-        let peers = peers("klupa");
+        answer_calls(node.inbox.take().unwrap(), store.clone());
+        let peers = client("klupa");
         let req = ExchangeRequest { first: 4, ..ExchangeRequest::default() };
         assert_eq!(peers.exchange(node.address, &req).await.unwrap().next, Some(5));
         assert_eq!(peers.head(node.address).await.unwrap(), Some(head()));
@@ -106,61 +114,67 @@
         assert_eq!(node.counters.connections_in(), 1, "calls share a connection");
         assert_eq!(node.counters.bytes_in(), peers.counters().bytes_out());
         peers.close().await;
-        node.end().await;
+        node.stop().await;
     });
 }
 
+/// Guards against calls that reach a node of another deployment: client and listener name different
+/// ones.
 #[test]
-fn another_deployment_is_refused_and_counted() {
-    run(async {
+fn call_of_another_deployment_is_refused_and_counted() {
+    block_on(async {
         let mut node = Node::start(ServerOptions::default());
-        answer(node.inbox.take().unwrap(), Vec::new());
-        let peers = peers("sutokatha");
+        answer_calls(node.inbox.take().unwrap(), Vec::new());
+        let peers = client("sutokatha");
         let refused = peers.head(node.address).await.unwrap_err();
         assert_eq!(*refused.current_context(), Error::Deployment);
         assert_eq!(node.counters.refused(), 1);
         peers.close().await;
-        node.end().await;
+        node.stop().await;
     });
 }
 
+/// Guards against fetches of unbounded size: three objects of half the byte bound each, and a request
+/// one hash over its bound.
 #[test]
 fn fetches_are_bounded() {
-    run(async {
+    block_on(async {
         let mut node = Node::start(ServerOptions::default());
         let large: Vec<Bytes> =
             (0..3u8).map(|fill| Bytes::from(vec![fill; MAX_FETCH_BYTES / 2])).collect();
-        answer(node.inbox.take().unwrap(), large.clone());
-        let peers = peers("klupa");
+        answer_calls(node.inbox.take().unwrap(), large.clone());
+        let peers = client("klupa");
         let hashes: Vec<ContentHash> = large.iter().map(|body| ContentHash::of(body)).collect();
         assert_eq!(peers.fetch(node.address, &hashes).await.unwrap().len(), 2);
         let many = vec![ContentHash::of(b""); MAX_FETCH_HASHES + 1];
         let refused = peers.fetch(node.address, &many).await.unwrap_err();
         assert_eq!(*refused.current_context(), Error::Malformed);
         peers.close().await;
-        node.end().await;
+        node.stop().await;
     });
 }
 
+/// Guards against unbounded connections: a second client connects where one connection is allowed.
 #[test]
 fn connections_over_the_limit_are_refused() {
-    run(async {
+    block_on(async {
         let options = ServerOptions { connections: 1, ..ServerOptions::default() };
         let mut node = Node::start(options);
-        answer(node.inbox.take().unwrap(), Vec::new());
-        let (first, second) = (peers("klupa"), peers("klupa"));
+        answer_calls(node.inbox.take().unwrap(), Vec::new());
+        let (first, second) = (client("klupa"), client("klupa"));
         first.head(node.address).await.unwrap();
         assert!(second.head(node.address).await.is_err());
         assert_eq!(node.counters.connections_refused(), 1);
         first.close().await;
         second.close().await;
-        node.end().await;
+        node.stop().await;
     });
 }
 
+/// Guards against unbounded queues: 300 calls are made while nothing reads the inbox.
 #[test]
-fn a_queue_that_nobody_empties_refuses() {
-    run(async {
+fn calls_over_the_queue_limit_are_refused() {
+    block_on(async {
         let mut node = Node::start(ServerOptions::default());
         let inbox = node.inbox.take().unwrap();
         let peers = Peers::new(
@@ -177,15 +191,18 @@
         while head.try_recv().is_ok() {
             queued += 1;
         }
+        // A queue holds 64 calls and one more slot for its sender.
         assert!(queued <= 65, "{queued} calls queued");
         peers.close().await;
-        node.end().await;
+        node.stop().await;
     });
 }
 
+/// Guards against malformed, oversized or foreign datagrams that pass, stop the receiver or go
+/// uncounted: one of each is sent before a valid packet.
 #[test]
-fn datagrams_arrive_and_garbage_is_counted() {
-    run(async {
+fn valid_datagrams_arrive_and_others_are_counted_as_refused() {
+    block_on(async {
         let bind = |name: &str| {
             let counters = Arc::new(Counters::default());
             let address = "127.0.0.1:0".parse().unwrap();
@@ -208,27 +225,32 @@
     });
 }
 
-/// Not a bound: prints what one probe costs by each way, for the design page.
+/// Prints the bytes of one probe as a call on a new connection, as a call on an open one and as a
+/// pair of datagrams, for the design page. It asserts no bound.
 #[test]
 fn print_bytes_of_a_probe() {
-    run(async {
+    block_on(async {
         let mut node = Node::start(ServerOptions::default());
-        answer(node.inbox.take().unwrap(), Vec::new());
-        let peers = peers("klupa");
+        answer_calls(node.inbox.take().unwrap(), Vec::new());
+        let peers = client("klupa");
         let total = || peers.counters().bytes_out() + peers.counters().bytes_in();
         peers.head(node.address).await.unwrap();
-        let cold = total();
+        let first_call = total();
         peers.head(node.address).await.unwrap();
         peers.head(node.address).await.unwrap();
         let before = total();
         peers.head(node.address).await.unwrap();
-        println!("call on a new connection: {cold} B; on an open one: {} B", total() - before);
+        println!(
+            "call on a new connection: {first_call} B; on an open one: {} B",
+            total() - before
+        );
         let body = Body::Ping { seq: 70_000, digest: Digest::from(u64::MAX) };
         let at = Stamp { wall: WallTime(1_796_344_110_107), logical: 300 };
         let packet = Packet { from: "counter-0017".parse().unwrap(), body, items: Vec::new() };
         let len = sycamore_peer::codec::encode_packet(&packet, at, 1).unwrap().len();
+        // 28: IPv4 and UDP headers of a datagram, in bytes.
         println!("ping and ack as datagrams: {} B", 2 * (len + 28));
         peers.close().await;
-        node.end().await;
+        node.stop().await;
     });
 }
