--- a/crates/sycamore-cli/src/args/mod.rs
+++ b/crates/sycamore-cli/src/args/mod.rs
@@ -1,16 +1,17 @@
-//! Arguments of the command line.
+//! Command line arguments, parsed with bpaf. Doc comments on options and commands are the `--help`
+//! texts.
 
 use bpaf::Bpaf;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use sycamore_types::id::{MoveId, OperatorName, PlanId};
 
-/// How answers are printed.
+/// Output format of results and errors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
-    /// Tables for people.
+    /// Tables and sentences.
     Table,
-    /// JSON for programs.
+    /// One JSON value per result.
     Json,
 }
 
@@ -32,33 +33,34 @@
     options,
     version,
     footer("Example: sycamoreshift sheet import --plan 2026-12-04 --operator ana morning.csv\n \
-            Exit codes: 0 done, 1 failed or not known, 2 bad input, 3 conflict, 4 not found, 5 not allowed.")
+            Exit codes: 0 done, 1 failed or unknown, 2 bad input, 3 conflict, 4 not found, 5 unauthorized.")
 )]
 pub struct Options {
-    /// Operators' address of a node; may be given several times, the first that answers is used
+    /// Operator address of a node, as IP:PORT; may be repeated: the first that answers is used, and
+    /// the timeline asks all
     #[bpaf(long("node"), env("SYCAMORESHIFT_NODE"), argument("ADDR"), many)]
     pub nodes: Vec<SocketAddr>,
-    /// File with the operator token; otherwise SYCAMORESHIFT_TOKEN holds it
+    /// File with the operator token (default: the value of SYCAMORESHIFT_TOKEN)
     #[bpaf(long("token-file"), argument("FILE"), optional)]
     pub token_file: Option<PathBuf>,
-    /// table or json
+    /// Output format: table (default) or json
     #[bpaf(long("output"), argument("FORMAT"), fallback(Format::Table))]
     pub output: Format,
-    /// What to do
+    /// Command to run
     #[bpaf(external(command))]
     pub command: Command,
 }
 
-/// What to do.
+/// Commands of sycamoreshift.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Command {
-    /// Check a file without a node; nothing is changed
+    /// Check a file offline; nothing is changed
     #[bpaf(command("check"))]
     Check(#[bpaf(external(check))] Check),
     /// Apply or show the configuration
     #[bpaf(command("config"))]
     Config(#[bpaf(external(config))] Config),
-    /// Import the planners' sheet
+    /// Import a sheet of release moves
     #[bpaf(command("sheet"))]
     Sheet(#[bpaf(external(sheet))] Sheet),
     /// List the plans
@@ -71,7 +73,7 @@
         #[bpaf(long("plan"), argument("PLAN"), optional)]
         plan: Option<PlanId>,
     },
-    /// Tell how each move ended and why
+    /// Show how each move ended and why
     #[bpaf(command("report"))]
     Report {
         /// Only moves of this plan
@@ -81,46 +83,46 @@
     /// Take a move back at once
     #[bpaf(command("abort"))]
     Abort(#[bpaf(external(abort))] Abort),
-    /// List the nodes that a node knows
+    /// List the members known to the node
     #[bpaf(command("nodes"))]
     Nodes,
-    /// Show the events of all nodes given, in one order
+    /// Show the events of all nodes given, in order of time
     #[bpaf(command("timeline"))]
     Timeline(#[bpaf(external(timeline))] Timeline),
-    /// Show what logs say of one request, in one order, without a node
+    /// Show the lines about one request from log files, in order of time
     #[bpaf(command("trace"))]
     Trace(#[bpaf(external(trace))] Trace),
 }
 
-/// A request to look for in logs.
+/// Request to find and log files to search.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Trace {
-    /// The request's identifier
+    /// Identifier of the request
     #[bpaf(positional("ID"))]
     pub id: String,
-    /// Files with the logs of one or more nodes
+    /// Log file of a node; may be repeated
     #[bpaf(positional("FILE"), some("at least one log file must be given"))]
     pub files: Vec<PathBuf>,
 }
 
-/// What to check.
+/// Kinds of files to check.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Check {
-    /// Check a node's settings file
+    /// Check a settings file of a node
     #[bpaf(command("settings"))]
     Settings {
-        /// INI file
+        /// Settings file, in INI format
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
     /// Check a sheet of release moves
     #[bpaf(command("sheet"))]
     Sheet {
-        /// CSV file as the spreadsheet exports it
+        /// CSV file as exported from the spreadsheet
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Check a configuration
+    /// Check the resources of a configuration
     #[bpaf(command("config"))]
     Config {
         /// JSON file with a list of resources, or a folder of such files
@@ -129,10 +131,10 @@
     },
 }
 
-/// What to do with the configuration.
+/// Configuration commands.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Config {
-    /// Make a configuration the current one, as one change
+    /// Replace the current configuration in one atomic change
     #[bpaf(command("apply"))]
     Apply(#[bpaf(external(apply))] Apply),
     /// Show the configuration in force on a node
@@ -140,13 +142,13 @@
     Show,
 }
 
-/// A configuration to apply.
+/// Configuration to apply, and the change's author.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Apply {
-    /// Your name, recorded with the change
+    /// Your name, recorded as the author of the change
     #[bpaf(long("operator"), env("USER"), argument("NAME"))]
     pub operator: OperatorName,
-    /// The version that you mean to replace; a conflict where another one is current
+    /// Version that you mean to replace; the command ends with a conflict if another is current
     #[bpaf(long("expect"), argument("VERSION"), optional)]
     pub expect: Option<u64>,
     /// JSON file with a list of resources, or a folder of such files
@@ -154,58 +156,58 @@
     pub path: PathBuf,
 }
 
-/// What to do with a sheet.
+/// Sheet commands.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Sheet {
-    /// Import a sheet as a plan; importing it twice is harmless
+    /// Import a sheet as a plan; repeating the import is safe
     #[bpaf(command("import"))]
     Import(#[bpaf(external(import))] Import),
 }
 
-/// A sheet to import.
+/// Sheet to import, and the plan that its moves belong to.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Import {
-    /// Your name, recorded with the change
+    /// Your name, recorded as the author of the change
     #[bpaf(long("operator"), env("USER"), argument("NAME"))]
     pub operator: OperatorName,
-    /// The plan's name, such as the day
+    /// Name of the plan, for example its date
     #[bpaf(long("plan"), argument("PLAN"))]
     pub plan: PlanId,
-    /// CSV file as the spreadsheet exports it
+    /// CSV file as exported from the spreadsheet
     #[bpaf(positional("FILE"))]
     pub file: PathBuf,
 }
 
-/// A move to take back.
+/// Move to take back, and the reason.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Abort {
-    /// Your name, recorded with the change
+    /// Your name, recorded as the author of the change
     #[bpaf(long("operator"), env("USER"), argument("NAME"))]
     pub operator: OperatorName,
-    /// Why, for the report
+    /// Reason to show in the report
     #[bpaf(long("reason"), argument("TEXT"), fallback("aborted by an operator".to_owned()))]
     pub reason: String,
-    /// The move
+    /// Identifier of the move
     #[bpaf(positional("MOVE"))]
     pub mv: MoveId,
 }
 
-/// Which events to show.
+/// Filters and sources of the events.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Timeline {
     /// Only events of this kind, such as config-applied
     #[bpaf(long("kind"), argument("KIND"), optional)]
     pub kind: Option<String>,
-    /// Only events of this move
+    /// Only events about this move
     #[bpaf(long("move"), argument("MOVE"), optional)]
     pub mv: Option<MoveId>,
     /// Only events that this instance recorded
     #[bpaf(long("instance"), argument("INSTANCE"), optional)]
     pub instance: Option<sycamore_types::id::InstanceId>,
-    /// Show what the object store holds too: events of processes that are gone
+    /// Include the events archived in the object store, also those of ended processes
     #[bpaf(long("archive"))]
     pub archive: bool,
-    /// Go on showing events as they happen
+    /// Keep running and show new events as they are recorded
     #[bpaf(long("follow"))]
     pub follow: bool,
 }
--- a/crates/sycamore-cli/src/client/mod.rs
+++ b/crates/sycamore-cli/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the operators' listener.
+//! HTTP client for the operator listener of nodes.
 
 use crate::args::Options;
 use crate::error::CliError;
@@ -15,20 +15,20 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Largest answer accepted, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// Time that one exchange may take.
-const TIMEOUT: Duration = Duration::from_secs(15);
-/// Operators' port where no node is named.
+/// Largest accepted response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Longest time from connecting to a node to its whole response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
+/// Operator port on the local host that is used where no node is given.
 const DEFAULT_PORT: u16 = 7404;
 
-/// Asks the nodes that the command line names.
+/// Client that sends queries and commands to the nodes given on the command line.
 pub struct Client {
     nodes: Vec<SocketAddr>,
     token: String,
 }
 
-/// An error as a node tells it.
+/// Body of a node's error response.
 #[derive(Deserialize)]
 struct ErrorBody {
     error: String,
@@ -39,15 +39,17 @@
 }
 
 impl Client {
-    /// A client for the nodes and the token that `options` name.
+    /// Creates a client for the nodes in `options`, or the local node where there are none, with the
+    /// token of the token file or of `SYCAMORESHIFT_TOKEN`.
     ///
     /// # Errors
     /// [`CliError::BadInput`] where the token file can't be read.
     pub fn new(options: &Options) -> Result<Self, Report<CliError>> {
         let token = match &options.token_file {
             None => std::env::var("SYCAMORESHIFT_TOKEN").unwrap_or_default(),
-            Some(file) => std::fs::read_to_string(file)
-                .change_context_lazy(|| CliError::bad_input(format!("can't read {file:?}")))?,
+            Some(file) => std::fs::read_to_string(file).change_context_lazy(|| {
+                CliError::bad_input(format!("can't read the token file {file:?}"))
+            })?,
         };
         let nodes = match options.nodes.is_empty() {
             true => vec![SocketAddr::from((Ipv4Addr::LOCALHOST, DEFAULT_PORT))],
@@ -56,15 +58,16 @@
         Ok(Self { nodes, token: token.trim().to_owned() })
     }
 
-    /// The nodes named.
+    /// Returns the operator addresses of the nodes, at least one.
     pub fn nodes(&self) -> &[SocketAddr] {
         &self.nodes
     }
 
-    /// Asks the first node that can be reached.
+    /// Sends a query to one node after another until one responds with a result or an error other
+    /// than [`CliError::Failed`].
     ///
     /// # Errors
-    /// [`CliError`], as the node says, or where none can be reached.
+    /// [`CliError`] of that response, or of the last node where all failed.
     pub async fn query(&self, path_and_query: &str) -> Result<Value, Report<CliError>> {
         let mut last = None;
         for node in &self.nodes {
@@ -72,46 +75,52 @@
                 Err(report) if matches!(report.current_context(), CliError::Failed(_)) => {
                     last = Some(report);
                 }
-                answered => return answered,
+                result => return result,
             }
         }
-        Err(last.unwrap_or_else(|| Report::new(CliError::bad_input("no node is named"))))
+        Err(last.unwrap_or_else(|| Report::new(CliError::bad_input("no node is given"))))
     }
 
-    /// Asks one node.
+    /// Sends a query to one node.
     ///
     /// # Errors
-    /// [`CliError`], as the node says, or where it can't be reached.
+    /// [`CliError`] of the node's response, or [`CliError::Failed`] where it doesn't respond in time.
     pub async fn query_node(
         &self,
         node: SocketAddr,
         path_and_query: &str,
     ) -> Result<Value, Report<CliError>> {
         let path = format!("/v1/queries/{path_and_query}");
-        self.exchange(node, Method::GET, &path, Bytes::new()).await
+        self.request(node, Method::GET, &path, Bytes::new()).await
     }
 
-    /// Gives a command to the first node that can be connected to. A command carries an operation
-    /// id, so that giving it again to another node is harmless.
+    /// Sends a command to one node after another until one responds with a result or an error other
+    /// than [`CliError::Failed`]. The operation id in `body` lets the command take effect only once,
+    /// also where a node that failed had already run it.
     ///
     /// # Errors
-    /// [`CliError`], as the node says, or where none can be reached.
+    /// [`CliError`] of that response, or of the last node where all failed.
     pub async fn command(&self, name: &str, body: &Value) -> Result<Value, Report<CliError>> {
         let path = format!("/v1/commands/{name}");
         let body = Bytes::from(body.to_string());
         let mut last = None;
         for node in &self.nodes {
-            match self.exchange(*node, Method::POST, &path, body.clone()).await {
+            match self.request(*node, Method::POST, &path, body.clone()).await {
                 Err(report) if matches!(report.current_context(), CliError::Failed(_)) => {
                     last = Some(report);
                 }
-                answered => return answered,
+                result => return result,
             }
         }
-        Err(last.unwrap_or_else(|| Report::new(CliError::bad_input("no node is named"))))
+        Err(last.unwrap_or_else(|| Report::new(CliError::bad_input("no node is given"))))
     }
 
-    async fn exchange(
+    /// Sends one request to `node` and returns the JSON value of its response.
+    ///
+    /// # Errors
+    /// [`CliError`] of the node's response, or [`CliError::Failed`] where it doesn't respond within
+    /// [`REQUEST_TIMEOUT`].
+    async fn request(
         &self,
         node: SocketAddr,
         method: Method,
@@ -119,83 +128,86 @@
         body: Bytes,
     ) -> Result<Value, Report<CliError>> {
         let failed = || CliError::Failed(format!("node {node} gave no answer"));
-        let exchange = self.send(node, method, path, body);
-        let (status, body) = monoio::time::timeout(TIMEOUT, exchange)
+        let response = self.connect_and_send(node, method, path, body);
+        let (status, body) = monoio::time::timeout(REQUEST_TIMEOUT, response)
             .await
             .change_context_lazy(failed)?
             .change_context_lazy(failed)?;
-        answer(status, &body)
+        decode_response(status, &body)
     }
 
-    async fn send(
+    /// Sends one request to `node` over a connection of its own; returns status and body.
+    async fn connect_and_send(
         &self,
         node: SocketAddr,
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<(StatusCode, Bytes), Report<ExchangeError>> {
-        let stream = TcpStream::connect(node).await.change_context(ExchangeError)?;
-        stream.set_nodelay(true).change_context(ExchangeError)?;
-        let stream = stream.into_poll_io().change_context(ExchangeError)?;
+    ) -> Result<(StatusCode, Bytes), Report<RequestError>> {
+        let stream = TcpStream::connect(node).await.change_context(RequestError)?;
+        stream.set_nodelay(true).change_context(RequestError)?;
+        let stream = stream.into_poll_io().change_context(RequestError)?;
         let (mut sender, connection) =
-            http1::handshake(MonoioIo::new(stream)).await.change_context(ExchangeError)?;
+            http1::handshake(MonoioIo::new(stream)).await.change_context(RequestError)?;
         let req = Request::builder()
             .method(method)
             .uri(path)
             .header(header::HOST, node.to_string())
             .header(header::AUTHORIZATION, format!("Bearer {}", self.token))
             .body(Full::new(body))
-            .change_context(ExchangeError)?;
+            .change_context(RequestError)?;
         let driver = monoio::spawn(connection);
-        let exchanged = exchange(&mut sender, req).await;
-        // Without its sender the connection ends, however the exchange went.
+        let response = send_request(&mut sender, req).await;
+        // The connection's task ends once its sender is dropped, also after an error.
         drop(sender);
         let _ = driver.await;
-        exchanged
+        response
     }
 }
 
-/// Sends `req` and reads the whole answer.
-async fn exchange(
+/// Sends `req` and reads the whole response.
+async fn send_request(
     sender: &mut http1::SendRequest<Full<Bytes>>,
     req: Request<Full<Bytes>>,
-) -> Result<(StatusCode, Bytes), Report<ExchangeError>> {
-    let answer = sender.send_request(req).await.change_context(ExchangeError)?;
-    let status = answer.status();
-    let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
+) -> Result<(StatusCode, Bytes), Report<RequestError>> {
+    let response = sender.send_request(req).await.change_context(RequestError)?;
+    let status = response.status();
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
         .collect()
         .await
-        .map_err(|error| Report::new(ExchangeError).attach(error.to_string()))?;
+        .map_err(|error| Report::new(RequestError).attach(error.to_string()))?;
     Ok((status, body.to_bytes()))
 }
 
-/// The exchange with a node broke off.
+/// Error of a request without a whole response: the connection could not be opened or broke off, or
+/// the body exceeds [`MAX_RESPONSE_BYTES`].
 #[derive(Debug)]
-struct ExchangeError;
+struct RequestError;
 
-impl std::fmt::Display for ExchangeError {
+impl std::fmt::Display for RequestError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the exchange broke off")
+        f.write_str("the HTTP request got no whole response")
     }
 }
 
-impl std::error::Error for ExchangeError {}
+impl std::error::Error for RequestError {}
 
-fn answer(status: StatusCode, body: &[u8]) -> Result<Value, Report<CliError>> {
+/// Converts a node's response to its JSON value, or to the [`CliError`] for its status.
+fn decode_response(status: StatusCode, body: &[u8]) -> Result<Value, Report<CliError>> {
     if status.is_success() {
-        let unreadable = || CliError::Failed("the node's answer is no JSON".to_owned());
-        return serde_json::from_slice(body).change_context_lazy(unreadable);
+        let invalid = || CliError::Failed("the node's response is not valid JSON".to_owned());
+        return serde_json::from_slice(body).change_context_lazy(invalid);
     }
-    let told: ErrorBody = serde_json::from_slice(body).unwrap_or_else(|_| ErrorBody {
-        error: format!("the node answered {status}"),
+    let body: ErrorBody = serde_json::from_slice(body).unwrap_or_else(|_| ErrorBody {
+        error: format!("the node responded with status {status}"),
         faults: Vec::new(),
         winner: String::new(),
     });
     Err(Report::new(match status {
-        StatusCode::BAD_REQUEST => CliError::BadInput { error: told.error, faults: told.faults },
-        StatusCode::CONFLICT => CliError::Conflict { error: told.error, winner: told.winner },
-        StatusCode::NOT_FOUND => CliError::NotFound(told.error),
+        StatusCode::BAD_REQUEST => CliError::BadInput { error: body.error, faults: body.faults },
+        StatusCode::CONFLICT => CliError::Conflict { error: body.error, winner: body.winner },
+        StatusCode::NOT_FOUND => CliError::NotFound(body.error),
         StatusCode::UNAUTHORIZED => CliError::Unauthorized,
-        _ => CliError::Failed(told.error),
+        _ => CliError::Failed(body.error),
     }))
 }
--- a/crates/sycamore-cli/src/commands/file.rs
+++ b/crates/sycamore-cli/src/commands/file.rs
@@ -1,28 +1,29 @@
-//! Reading what an operator hands in.
+//! Reads the text and JSON files that an operator gives to a command.
 
 use crate::error::CliError;
 use error_stack::{Report, ResultExt};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 
-/// The text of the file at `path`.
+/// Reads the text of the file at `path`.
 ///
 /// # Errors
-/// [`CliError::BadInput`] where it can't be read or is no UTF-8.
-pub fn text(path: &Path) -> Result<String, Report<CliError>> {
+/// [`CliError::BadInput`] where the file can't be read or is not UTF-8.
+pub fn read_text(path: &Path) -> Result<String, Report<CliError>> {
     std::fs::read_to_string(path)
         .change_context_lazy(|| CliError::bad_input(format!("can't read {}", path.display())))
 }
 
-/// The resources in the JSON file at `path`, or in all of a folder's JSON files in name order.
+/// Reads the resources of a configuration from the JSON file at `path`; where `path` is a folder, from
+/// all of its JSON files in name order.
 ///
 /// # Errors
-/// [`CliError::BadInput`] with every file that can't be read or holds no list.
-pub fn resources(path: &Path) -> Result<Vec<Value>, Report<CliError>> {
+/// [`CliError::BadInput`] with every file that can't be read or holds no JSON list.
+pub fn read_resources(path: &Path) -> Result<Vec<Value>, Report<CliError>> {
     let mut resources = Vec::new();
     let mut faults = Vec::new();
-    for file in json_files(path)? {
-        match list(&file) {
+    for file in list_json_files(path)? {
+        match read_list(&file) {
             Ok(more) => resources.extend(more),
             Err(fault) => faults.push(format!("{}: {fault}", file.display())),
         }
@@ -30,13 +31,14 @@
     match faults.is_empty() {
         true => Ok(resources),
         false => {
-            let error = "the configuration can't be read".to_owned();
+            let error = "some files of the configuration can't be read".to_owned();
             Err(Report::new(CliError::BadInput { error, faults }))
         }
     }
 }
 
-fn json_files(path: &Path) -> Result<Vec<PathBuf>, Report<CliError>> {
+/// Returns `path` itself, or the JSON files of the folder at `path` in name order.
+fn list_json_files(path: &Path) -> Result<Vec<PathBuf>, Report<CliError>> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
     }
@@ -52,7 +54,8 @@
     Ok(files)
 }
 
-fn list(file: &Path) -> Result<Vec<Value>, String> {
+/// Reads a JSON list from `file`.
+fn read_list(file: &Path) -> Result<Vec<Value>, String> {
     let text = std::fs::read_to_string(file).map_err(|error| error.to_string())?;
     serde_json::from_str(&text).map_err(|error| error.to_string())
 }
--- a/crates/sycamore-cli/src/commands/mod.rs
+++ b/crates/sycamore-cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Commands: what checks or changes something.
+//! Commands that check files, or change the configuration, plans and moves.
 
 pub mod abort;
 pub mod check;
@@ -9,7 +9,7 @@
 use rand::Rng;
 use sycamore_types::id::OpId;
 
-/// A fresh operation id: a command given twice with it takes effect once.
-fn op_id() -> OpId {
+/// Creates a random operation id, by which nodes recognise a repeated command and run it only once.
+fn new_op_id() -> OpId {
     OpId(rand::rng().random())
 }
--- a/crates/sycamore-cli/src/commands/sheet.rs
+++ b/crates/sycamore-cli/src/commands/sheet.rs
@@ -1,6 +1,6 @@
-//! `sheet import`: turns the planners' sheet into a plan of moves.
+//! `sheet import`: imports a CSV sheet of release moves as a plan.
 
-use super::{check, file, op_id};
+use super::{check, file, new_op_id};
 use crate::args::Import;
 use crate::client::Client;
 use crate::error::CliError;
@@ -8,20 +8,21 @@
 use error_stack::Report;
 use serde_json::{json, Value};
 
-/// Checks the sheet here, then imports it through a node.
+/// Checks the sheet locally, then sends it to a node.
 ///
 /// # Errors
-/// [`CliError`] where it is faulty, somebody else won, or no node or platform answers.
+/// [`CliError::BadInput`] where the sheet has faults, [`CliError::Conflict`] where another change was
+/// first, [`CliError::Failed`] where no node answers or the platform doesn't.
 pub async fn run(
     client: &Client,
     import: &Import,
     output: &Output,
 ) -> Result<(), Report<CliError>> {
-    let sheet = file::text(&import.file)?;
-    check::sheet(&sheet)?;
+    let sheet = file::read_text(&import.file)?;
+    check::check_sheet(&sheet)?;
     let body = json!({
         "operator": import.operator,
-        "op": op_id(),
+        "op": new_op_id(),
         "plan": import.plan,
         "sheet": sheet,
     });
@@ -29,15 +30,15 @@
     let text = format!(
         "plan {}: {} moves added, {} changed, {} as before",
         import.plan,
-        count(&answer["added"]),
-        count(&answer["changed"]),
-        count(&answer["same"])
+        count_moves(&answer["added"]),
+        count_moves(&answer["changed"]),
+        count_moves(&answer["same"])
     );
-    output.answer(&answer, text);
+    output.print_answer(&answer, text);
     Ok(())
 }
 
-/// Number of the moves that a node listed.
-fn count(moves: &Value) -> usize {
+/// Returns the length of a list of moves in a node's answer; 0 where there is none.
+fn count_moves(moves: &Value) -> usize {
     moves.as_array().map_or(0, Vec::len)
 }
--- a/crates/sycamore-cli/src/error.rs
+++ b/crates/sycamore-cli/src/error.rs
@@ -2,38 +2,38 @@
 
 use std::fmt;
 
-/// Why a command failed. Each kind has an exit code of its own.
+/// Error that ends the program; each variant has its own exit code.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CliError {
-    /// Exit code 1: a node or the platform can't be reached, or the outcome can't be known.
+    /// Exit code 1: a node or the platform can't be reached, or the outcome is unknown.
     Failed(String),
-    /// Exit code 2: the input is wrong; nothing was changed.
+    /// Exit code 2: the arguments or an input file are invalid; nothing was changed.
     BadInput {
-        /// What is wrong in all.
+        /// Summary of the error.
         error: String,
-        /// Each fault, with its place.
+        /// Every fault found, each with its place in the input; empty where the summary says all.
         faults: Vec<String>,
     },
-    /// Exit code 3: somebody else changed the same thing first.
+    /// Exit code 3: another operator or a node changed the same configuration, plan or move first.
     Conflict {
-        /// What happened.
+        /// Description of the conflict.
         error: String,
-        /// The operator who won.
+        /// Author of the earlier change; empty where the node names none.
         winner: String,
     },
-    /// Exit code 4: there is no such thing.
+    /// Exit code 4: the move, plan, log entry or other object named does not exist.
     NotFound(String),
-    /// Exit code 5: the token is missing or wrong.
+    /// Exit code 5: the operator token is missing or wrong.
     Unauthorized,
 }
 
 impl CliError {
-    /// An input with one fault.
+    /// Creates a [`CliError::BadInput`] without a list of faults.
     pub fn bad_input(error: impl fmt::Display) -> Self {
         Self::BadInput { error: error.to_string(), faults: Vec::new() }
     }
 
-    /// The process' exit code.
+    /// Returns the exit code of the process for this error.
     pub fn exit_code(&self) -> u8 {
         match self {
             CliError::Failed(_) => 1,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Each fault of a wrong input.
+    /// Returns the faults of an invalid input; empty for other errors.
     pub fn faults(&self) -> &[String] {
         match self {
             CliError::BadInput { faults, .. } => faults,
--- a/crates/sycamore-cli/src/output/mod.rs
+++ b/crates/sycamore-cli/src/output/mod.rs
@@ -1,43 +1,44 @@
-//! Printing: tables for people, JSON for programs.
+//! Prints results and errors as tables and text, or as JSON.
 
 use crate::args::Format;
 use crate::error::CliError;
 use comfy_table::{presets, ContentArrangement, Table};
 use serde_json::{json, Value};
 
-/// Prints answers in the format that was asked for.
+/// Printer for one output format.
 pub struct Output {
     format: Format,
 }
 
-/// A column of a table: its title, and where a row's value is (a JSON pointer).
+/// Table column: its title, and the JSON pointer to its value in a row.
 pub type Column = (&'static str, &'static str);
 
 impl Output {
-    /// Prints in `format`.
+    /// Creates a printer for `format`.
     pub fn new(format: Format) -> Self {
         Self { format }
     }
 
-    /// Prints `value` as JSON, or `text` for people.
-    pub fn answer(&self, value: &Value, text: impl AsRef<str>) {
+    /// Prints `value` as one line of JSON, or `text` in the table format.
+    pub fn print_answer(&self, value: &Value, text: impl AsRef<str>) {
         match self.format {
             Format::Json => println!("{value}"),
             Format::Table => println!("{}", text.as_ref()),
         }
     }
 
-    /// Prints `value` as JSON, or its `rows` as a table with `columns`.
-    pub fn rows(&self, value: &Value, rows: &[Value], columns: &[Column]) {
+    /// Prints `value` as one line of JSON, or its `rows` as a table with `columns`; `none` where
+    /// there are no rows.
+    pub fn print_rows(&self, value: &Value, rows: &[Value], columns: &[Column]) {
         match self.format {
             Format::Json => println!("{value}"),
             Format::Table if rows.is_empty() => println!("none"),
-            Format::Table => println!("{}", table(rows, columns)),
+            Format::Table => println!("{}", build_table(rows, columns)),
         }
     }
 
-    /// Prints an error, to standard error.
-    pub fn error(&self, error: &CliError) {
+    /// Prints an error and its faults to standard error.
+    pub fn print_error(&self, error: &CliError) {
         match self.format {
             Format::Json => {
                 eprintln!("{}", json!({ "error": error.to_string(), "faults": error.faults() }));
@@ -50,19 +51,21 @@
     }
 }
 
-fn table(rows: &[Value], columns: &[Column]) -> Table {
+/// Builds a table with one line for each of `rows`.
+fn build_table(rows: &[Value], columns: &[Column]) -> Table {
     let mut table = Table::new();
     table
         .load_preset(presets::NOTHING)
         .set_content_arrangement(ContentArrangement::Dynamic)
         .set_header(columns.iter().map(|(title, _)| *title));
     for row in rows {
-        table.add_row(columns.iter().map(|(_, pointer)| cell(row.pointer(pointer))));
+        table.add_row(columns.iter().map(|(_, pointer)| cell_text(row.pointer(pointer))));
     }
     table
 }
 
-fn cell(value: Option<&Value>) -> String {
+/// Returns the text of a table cell: `-` where the value is absent or null, strings without quotes.
+fn cell_text(value: Option<&Value>) -> String {
     match value {
         None | Some(Value::Null) => "-".to_owned(),
         Some(Value::String(text)) => text.clone(),
--- a/crates/sycamore-cli/src/queries/mod.rs
+++ b/crates/sycamore-cli/src/queries/mod.rs
@@ -1,4 +1,4 @@
-//! Queries: what only tells.
+//! Queries that show the configuration, plans, moves and nodes, and change nothing.
 
 pub mod timeline;
 pub mod trace;
@@ -12,7 +12,8 @@
 use sycamore_moves::report::MoveReport;
 use sycamore_types::id::PlanId;
 
-const PLANS: [Column; 5] = [
+/// Columns of the table of plans.
+const PLAN_COLUMNS: [Column; 5] = [
     ("plan", "/plan"),
     ("revision", "/revision"),
     ("by", "/operator"),
@@ -20,7 +21,8 @@
     ("state", "/state"),
 ];
 
-const MOVES: [Column; 6] = [
+/// Columns of the table of moves.
+const MOVE_COLUMNS: [Column; 6] = [
     ("move", "/move"),
     ("service", "/service"),
     ("from", "/from"),
@@ -29,7 +31,8 @@
     ("share in basis points", "/share"),
 ];
 
-const NODES: [Column; 7] = [
+/// Columns of the table of nodes.
+const NODE_COLUMNS: [Column; 7] = [
     ("instance", "/instance"),
     ("service", "/service"),
     ("version", "/version"),
@@ -39,74 +42,76 @@
     ("slots", "/slots"),
 ];
 
-/// Shows the configuration in force on a node.
+/// Prints the configuration in force on the node that answers.
 ///
 /// # Errors
-/// [`CliError`], as the node says.
-pub async fn config(client: &Client, output: &Output) -> Result<(), Report<CliError>> {
+/// [`CliError`] of the node's response, or [`CliError::Failed`] where no node answers.
+pub async fn show_config(client: &Client, output: &Output) -> Result<(), Report<CliError>> {
     let value = client.query("config").await?;
     let text = serde_json::to_string_pretty(&value).unwrap_or_default();
-    output.answer(&value, text);
+    output.print_answer(&value, text);
     Ok(())
 }
 
-/// Lists the plans.
+/// Prints the table of plans.
 ///
 /// # Errors
-/// [`CliError`], as the node says.
-pub async fn plans(client: &Client, output: &Output) -> Result<(), Report<CliError>> {
+/// [`CliError`] of the node's response, or [`CliError::Failed`] where no node answers.
+pub async fn list_plans(client: &Client, output: &Output) -> Result<(), Report<CliError>> {
     let value = client.query("plans").await?;
-    output.rows(&value, list(&value, "plans"), &PLANS);
+    output.print_rows(&value, array_field(&value, "plans"), &PLAN_COLUMNS);
     Ok(())
 }
 
-/// Lists the moves of `plan`, or of all plans.
+/// Prints the table of the moves of `plan`, or of all plans.
 ///
 /// # Errors
-/// [`CliError`], as the node says.
-pub async fn moves(
+/// [`CliError`] of the node's response, or [`CliError::Failed`] where no node answers.
+pub async fn list_moves(
     client: &Client,
     plan: Option<&PlanId>,
     output: &Output,
 ) -> Result<(), Report<CliError>> {
-    let value = client.query(&of_plan("moves", plan)).await?;
-    output.rows(&value, list(&value, "moves"), &MOVES);
+    let value = client.query(&plan_query("moves", plan)).await?;
+    output.print_rows(&value, array_field(&value, "moves"), &MOVE_COLUMNS);
     Ok(())
 }
 
-/// Tells how each move of `plan`, or of all plans, ended.
+/// Prints how each move of `plan`, or of all plans, ended.
 ///
 /// # Errors
-/// [`CliError`], as the node says.
-pub async fn report(
+/// [`CliError`] of the node's response, or [`CliError::Failed`] where no node answers.
+pub async fn show_report(
     client: &Client,
     plan: Option<&PlanId>,
     output: &Output,
 ) -> Result<(), Report<CliError>> {
-    let value = client.query(&of_plan("report", plan)).await?;
-    let unreadable = || CliError::Failed("the node's report can't be read".to_owned());
-    let moves = Vec::<MoveReport>::deserialize(&value["moves"]).change_context_lazy(unreadable)?;
-    output.answer(&value, sycamore_moves::report::table(&moves).trim_end());
+    let value = client.query(&plan_query("report", plan)).await?;
+    let invalid = || CliError::Failed("the node's report is not a valid list of moves".to_owned());
+    let moves = Vec::<MoveReport>::deserialize(&value["moves"]).change_context_lazy(invalid)?;
+    output.print_answer(&value, sycamore_moves::report::table(&moves).trim_end());
     Ok(())
 }
 
-/// Lists the nodes that a node knows.
+/// Prints the table of the members that the node that answers knows.
 ///
 /// # Errors
-/// [`CliError`], as the node says.
-pub async fn nodes(client: &Client, output: &Output) -> Result<(), Report<CliError>> {
+/// [`CliError`] of the node's response, or [`CliError::Failed`] where no node answers.
+pub async fn list_nodes(client: &Client, output: &Output) -> Result<(), Report<CliError>> {
     let value = client.query("nodes").await?;
-    output.rows(&value, list(&value, "members"), &NODES);
+    output.print_rows(&value, array_field(&value, "members"), &NODE_COLUMNS);
     Ok(())
 }
 
-fn of_plan(query: &str, plan: Option<&PlanId>) -> String {
+/// Returns the path of `query`, restricted to `plan` where one is given.
+fn plan_query(query: &str, plan: Option<&PlanId>) -> String {
     match plan {
         None => query.to_owned(),
         Some(plan) => format!("{query}?plan={plan}"),
     }
 }
 
-fn list<'a>(value: &'a Value, key: &str) -> &'a [Value] {
+/// Returns the array `key` of `value`; empty where there is none.
+fn array_field<'a>(value: &'a Value, key: &str) -> &'a [Value] {
     value[key].as_array().map(Vec::as_slice).unwrap_or_default()
 }
--- a/crates/sycamore-cli/src/queries/timeline.rs
+++ b/crates/sycamore-cli/src/queries/timeline.rs
@@ -1,4 +1,4 @@
-//! `timeline`: the events of all nodes named, and of those that are gone, in one order.
+//! `timeline`: prints the events of the nodes given and of the archive, in order of their stamps.
 
 use crate::args::Timeline;
 use crate::client::Client;
@@ -10,19 +10,21 @@
 use sycamore_timeline::merge::{Cursor, Filter};
 use sycamore_types::prelude::*;
 
-/// Time between two looks for new events.
+/// Pause between two queries for new events with `--follow`.
 const FOLLOW_INTERVAL: Duration = Duration::from_secs(1);
 
+/// Answer to a node's `timeline` query.
 #[derive(Deserialize)]
 struct Page {
     events: Vec<Event>,
 }
 
-/// Shows events, and goes on where `args` say so. What a node has told before is known by its
-/// number and its process' generation, so that a restarted node's events are shown as well.
+/// Prints the events that pass the filters in `args`, and with `follow` those recorded later. The
+/// cursor skips events already printed by instance, incarnation and sequence number; the incarnation
+/// keeps it from skipping the events of a restarted node, whose numbers begin again.
 ///
 /// # Errors
-/// [`CliError`] where a node named does not answer, or the object store where `args` ask for it.
+/// [`CliError`] where one of the nodes does not answer, or with `archive` the object store doesn't.
 pub async fn run(
     client: &Client,
     args: &Timeline,
@@ -32,8 +34,10 @@
         Filter { mv: args.mv.clone(), instance: args.instance.clone(), kind: args.kind.clone() };
     let mut cursor = Cursor::default();
     loop {
-        let fresh = cursor.advance(fetch(client, args).await?);
-        fresh.iter().filter(|event| filter.passes(event)).for_each(|event| show(event, output));
+        let new_events = cursor.advance(fetch_events(client, args).await?);
+        for event in new_events.iter().filter(|event| filter.passes(event)) {
+            print_event(event, output);
+        }
         if !args.follow {
             return Ok(());
         }
@@ -41,24 +45,27 @@
     }
 }
 
-async fn fetch(client: &Client, args: &Timeline) -> Result<Vec<Event>, Report<CliError>> {
+/// Fetches the events of all nodes, and of the archive where `args` ask for it.
+async fn fetch_events(client: &Client, args: &Timeline) -> Result<Vec<Event>, Report<CliError>> {
     let mut events = Vec::new();
     if args.archive {
-        events.extend(page(client.query("timeline?archive=true").await?)?);
+        events.extend(parse_events(client.query("timeline?archive=true").await?)?);
     }
     for node in client.nodes() {
-        events.extend(page(client.query_node(*node, "timeline").await?)?);
+        events.extend(parse_events(client.query_node(*node, "timeline").await?)?);
     }
     Ok(events)
 }
 
-fn page(value: serde_json::Value) -> Result<Vec<Event>, Report<CliError>> {
-    let unreadable = || CliError::Failed("a node sent events that can't be read".to_owned());
-    let page: Page = serde_json::from_value(value).change_context_lazy(unreadable)?;
+/// Parses the answer to a `timeline` query.
+fn parse_events(value: serde_json::Value) -> Result<Vec<Event>, Report<CliError>> {
+    let invalid = || CliError::Failed("a node's timeline is not a valid list of events".to_owned());
+    let page: Page = serde_json::from_value(value).change_context_lazy(invalid)?;
     Ok(page.events)
 }
 
-fn show(event: &Event, output: &Output) {
+/// Prints one event: stamp, recording instance, kind and the kind's fields.
+fn print_event(event: &Event, output: &Output) {
     let value = serde_json::to_value(event).unwrap_or_default();
     let detail = serde_json::to_string(&event.kind).unwrap_or_default();
     let text = format!(
@@ -68,5 +75,5 @@
         event.by.as_str(),
         event.kind.name()
     );
-    output.answer(&value, text);
+    output.print_answer(&value, text);
 }
