--- a/crates/sycamore-peer/src/datagram.rs
+++ b/crates/sycamore-peer/src/datagram.rs
@@ -21,7 +21,7 @@
 /// Packet received from another node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Received {
-    /// The decoded packet.
+    /// Membership packet that the datagram carried.
     pub packet: Packet,
     /// Reading of the sender's hybrid logical clock when it sent the packet; zero where the packet
     /// carries none.
--- a/crates/sycamore-peer/src/server/service.rs
+++ b/crates/sycamore-peer/src/server/service.rs
@@ -24,11 +24,11 @@
 /// unused.
 #[derive(Debug)]
 pub struct Call<Q, A> {
-    /// The calling instance.
+    /// Instance of the calling node, as the header [`FROM_HEADER`] names it.
     pub from: InstanceId,
-    /// The decoded request.
+    /// Request, decoded and checked against its bounds.
     pub body: Q,
-    /// Sends the answer to the handler.
+    /// Channel for the answer, on which the call's handler waits.
     pub tx: oneshot::Sender<A>,
 }
 
@@ -36,9 +36,9 @@
 /// body without decoding it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Evidence {
-    /// Number of the body's format.
+    /// Number of the body's format, which sender and receiver of evidence agree on.
     pub kind: u32,
-    /// The encoded summary, at most [`MAX_EVIDENCE_BYTES`].
+    /// Encoded evidence summary, at most [`MAX_EVIDENCE_BYTES`] bytes.
     pub body: Bytes,
 }
 
