--- a/crates/sycamore-bench/src/soak/mod.rs
+++ b/crates/sycamore-bench/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! Fault soak: real programs as processes, faults from outside drawn from a seed, and promises
-//! checked while it runs from what callers and upstreams see.
+//! Fault soak: injects seeded faults into a fleet of real processes and checks invariants during the
+//! run, from what callers and upstreams observe.
 
 mod play;
 mod promises;
@@ -16,91 +16,99 @@
 use bpaf::{construct, long, Parser};
 use futures::future::{join, join_all, select, Either};
 use play::Player;
-use promises::PATIENCE;
+use promises::CALL_TIMEOUT;
 use serde::Serialize;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::pin::pin;
 use std::time::{Duration, Instant};
 
-/// Upstreams of each of the two services.
-const UPSTREAMS: usize = 3;
-/// Calls a second: far below what the upstreams can take, so that nothing is refused for load.
-const RATE: f64 = 60.0;
-/// Mean work of a booking, in microseconds: some are under way whenever something is disturbed.
-const BOOKING_US: u64 = 200_000;
-/// Time after which a caller leaves without an answer, beyond the time that it says it waits.
-const GIVES_UP: Duration = Duration::from_secs(1);
-/// Time between two checks of the promises.
-const CHECK: Duration = Duration::from_secs(1);
-/// Time after the last event in which everything must be as before, which the users allow.
-const RECOVERY: Duration = Duration::from_secs(15);
-/// Time of the load that shows it.
-const AFTER: Duration = Duration::from_secs(3);
+/// Number of upstreams of each of the two services.
+const UPSTREAMS_PER_SERVICE: usize = 3;
+/// Rate of the load in calls per second: far below the upstreams' capacity, so that no call is
+/// refused because of load.
+const CALLS_PER_S: f64 = 60.0;
+/// Mean run time of a booking, in microseconds: long enough that some bookings are running whenever
+/// a fault begins.
+const BOOKING_WORK_US: u64 = 200_000;
+/// Time after [`CALL_TIMEOUT`] at which a caller without an answer closes its connection.
+const CALLER_SLACK: Duration = Duration::from_secs(1);
+/// Time between two checks of the invariants.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after the last event within which the fleet must have recovered, as the users require.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(15);
+/// Duration of one round of the load that checks the recovery.
+const RECOVERY_LOAD_TIME: Duration = Duration::from_secs(3);
 
-/// Options of the soak.
+/// Options of the `soak` command.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seed of events and load.
+    /// First seed; determines events and load.
     pub seed: u64,
-    /// Seeds played one after the other, from [`Options::seed`] on.
+    /// Number of consecutive seeds to run, starting with [`Options::seed`].
     pub seeds: u64,
-    /// Seconds in which events begin.
+    /// Period in seconds within which events begin.
     pub seconds: u64,
 }
 
-/// The parser of its options.
+/// Returns the command-line parser of the `soak` command's options.
 pub fn parser() -> impl Parser<Options> {
     let seed = crate::cli::seed();
-    let seeds = long("seeds").help("Seeds to play, from the first on").argument("N").fallback(1);
-    let seconds = long("seconds").help("Seconds of events").argument("N").fallback(20);
+    let seeds = long("seeds").help("Number of consecutive seeds").argument("N").fallback(1);
+    let seconds = long("seconds").help("Seconds of fault events").argument("N").fallback(20);
     construct!(Options { seed, seeds, seconds })
 }
 
-/// What one seed brought.
+/// Result of a soak run with one seed, printed as JSON.
 #[derive(Debug, Serialize)]
 pub struct Outcome {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Events played.
+    /// Number of events that were carried out.
     pub events: usize,
-    /// Calls by how they ended.
+    /// Number of calls per [`Ended`] variant, keyed by the variant's name.
     pub calls: BTreeMap<String, usize>,
-    /// Broken promises with what was seen.
+    /// Violated invariants with the observations that show them.
     pub breaches: Vec<Breach>,
-    /// Folder with settings and logs, kept where a promise was broken.
+    /// Directory with settings and logs; deleted if no invariant was violated.
     pub logs: String,
 }
 
-/// Plays all seeds and prints each outcome as a JSON line.
+/// Runs the soak with each seed and prints each outcome as a line of JSON.
 ///
 /// # Errors
-/// Where a fleet can't be used, or a promise was broken.
+/// [`crate::BenchError::Unmet`] with the seeds on which an invariant was violated, or the error of a
+/// fleet that could not be started or controlled.
 pub async fn run(options: Options) -> Result<()> {
-    let mut broken = Vec::new();
+    let mut violated = Vec::new();
     for seed in options.seed..options.seed + options.seeds {
         let outcome = play(seed, Duration::from_secs(options.seconds)).await?;
         print(&outcome);
         if !outcome.breaches.is_empty() {
-            broken.push(seed);
+            violated.push(seed);
         }
     }
-    match broken.is_empty() {
+    match violated.is_empty() {
         true => Ok(()),
-        false => Err(crate::BenchError::Unmet(format!("promises hold on seeds {broken:?}")).into()),
+        false => {
+            let what = format!("invariants violated with seeds {violated:?}");
+            Err(crate::BenchError::Unmet(what).into())
+        }
     }
 }
 
-/// Plays one seed.
+/// Runs the soak with one seed: `time` is the period within which events begin.
 ///
 /// # Errors
-/// Where the fleet can't be used.
+/// The error of a fleet that could not be started or controlled.
 pub async fn play(seed: u64, time: Duration) -> Result<Outcome> {
     let fleet = Fleet::start(fleet_options(seed)).await?;
-    // Until then no node can know of earlier runs, and keyed calls are answered as perhaps run.
-    let doubt = KEY_MEMORY + sycamore_settings::calls::Calls::default().view_lag;
-    if let Either::Right(_) = select(pin!(monoio::time::sleep(doubt)), pin!(fleet.tend())).await {
-        unreachable!("a fleet is tended for ever");
+    // After the start of a whole service its nodes can't know about earlier runs for this long, and
+    // answer calls with an idempotency key as unknown.
+    let key_warmup = KEY_MEMORY + sycamore_settings::calls::Calls::default().view_lag;
+    let warmup = monoio::time::sleep(key_warmup);
+    if let Either::Right(_) = select(pin!(warmup), pin!(fleet.tend())).await {
+        unreachable!("Fleet::tend never returns");
     }
     let promises = Promises::default();
     let events = schedule::plan(seed, time, &fleet.names());
@@ -108,28 +116,28 @@
     let (changes, newest) = (Cell::new(0), Cell::new(0));
     let player = Player { fleet: &fleet, promises: &promises, changes: &changes, newest: &newest };
     let done = Cell::new(false);
-    let story = async {
-        let played = join_all(events.iter().map(|event| player.play(event))).await;
+    let play_all = async {
+        let results = join_all(events.iter().map(|event| player.play(event))).await;
         done.set(true);
-        played.into_iter().collect::<Result<Vec<()>>>()
+        results.into_iter().collect::<Result<Vec<()>>>()
     };
     let load = load_options(&fleet, seed, time * 4)?;
     let calls = load::run_watched(&load, || done.get(), |record| promises.seen(record));
     let checks = async {
         loop {
-            monoio::time::sleep(CHECK).await;
+            monoio::time::sleep(CHECK_INTERVAL).await;
             promises.check(&fleet.witness().so_far());
             promises.check_configs(&watch.violations());
         }
     };
-    let care = join(join(fleet.tend(), watch.run(&fleet)), checks);
-    let whole = async {
-        let (_, told) = join(calls, story).await;
-        told?;
-        recover(&fleet, &promises, &watch, newest.get(), seed).await
+    let background = join(join(fleet.tend(), watch.run(&fleet)), checks);
+    let run = async {
+        let (_, played) = join(calls, play_all).await;
+        played?;
+        check_recovery(&fleet, &promises, &watch, newest.get(), seed).await
     };
-    if let Either::Left((ended, _)) = select(pin!(whole), pin!(care)).await {
-        ended?;
+    if let Either::Left((result, _)) = select(pin!(run), pin!(background)).await {
+        result?;
     }
     promises.check(&fleet.witness().ledger().await);
     promises.check_configs(&watch.violations());
@@ -143,37 +151,39 @@
     Ok(outcome)
 }
 
-/// Everything serves again in time, with the newest configuration everywhere.
-async fn recover(
+/// Checks that within [`RECOVERY_LIMIT`] all nodes are ready, know each other, have a configuration
+/// not older than `newest`, and answer every call of a fresh load.
+async fn check_recovery(
     fleet: &Fleet,
     promises: &Promises,
     watch: &ConfigWatch,
     newest: u64,
     seed: u64,
 ) -> Result<()> {
-    let begun = Instant::now();
-    let whole = async {
+    let start = Instant::now();
+    let recovered = async {
         fleet.wait_ready().await?;
         fleet.wait_members().await?;
-        let everywhere = || async { watch.all_at(fleet, newest) };
-        fleet.wait_for("the newest configuration everywhere", everywhere).await
+        let at_newest = || async { watch.all_at(fleet, newest) };
+        fleet.wait_for("the newest configuration on every node", at_newest).await
     };
-    if let Err(report) = whole.await {
+    if let Err(report) = recovered.await {
         promises.broken("not as before", report.current_context().to_string());
     }
-    eprintln!("whole after {:.1} s", begun.elapsed().as_secs_f64());
+    eprintln!("fleet ready after {:.1} s", start.elapsed().as_secs_f64());
     for round in 1.. {
-        let mut load = load_options(fleet, seed + round * 1_000_000, AFTER)?;
-        // A service that was down as a whole can't tell repeats yet.
+        let mut load = load_options(fleet, seed + round * 1_000_000, RECOVERY_LOAD_TIME)?;
+        // A service whose nodes were all restarted can't recognize repeated keys yet.
         load.kinds.retain(|kind| kind.key == load::KeyUse::None);
         let tally = load::run_watched(&load, || false, |record| promises.seen(record)).await;
-        let bad: Vec<_> = tally.records().iter().filter(|r| r.ended != Ended::Ok).collect();
-        if bad.is_empty() {
+        let failed: Vec<_> = tally.records().iter().filter(|r| r.ended != Ended::Ok).collect();
+        if failed.is_empty() {
             break;
         }
-        eprintln!("{} calls failed after {:.1} s", bad.len(), begun.elapsed().as_secs_f64());
-        if begun.elapsed() > RECOVERY {
-            for record in bad {
+        let elapsed = start.elapsed().as_secs_f64();
+        eprintln!("{} calls failed in the load that ended after {elapsed:.1} s", failed.len());
+        if start.elapsed() > RECOVERY_LIMIT {
+            for record in failed {
                 promises.broken("call failed after all was over", format!("{record:?}"));
             }
             break;
@@ -183,12 +193,12 @@
 }
 
 fn fleet_options(seed: u64) -> FleetOptions {
-    let service = |name: &str| ServiceSpec { name: name.into(), upstreams: UPSTREAMS };
+    let service = |name: &str| ServiceSpec { name: name.into(), upstreams: UPSTREAMS_PER_SERVICE };
     let services = vec![service("counter"), service("intake")];
     FleetOptions {
         deployment: Deployment { services, ..Deployment::zlatna_klupa() },
         seed,
-        ready_limit: RECOVERY,
+        ready_limit: RECOVERY_LIMIT,
         disturbed: true,
         ..FleetOptions::default()
     }
@@ -199,18 +209,22 @@
         fleet.names().iter().map(|name| fleet.front_for_callers(name)).collect::<Result<_>>()?;
     Ok(load::Options {
         seed,
-        rate: RATE,
+        rate: CALLS_PER_S,
         time,
-        limit: PATIENCE + GIVES_UP,
+        limit: CALL_TIMEOUT + CALLER_SLACK,
         targets: vec![Target { prefix: "/".into(), addrs }],
-        kinds: measure::kinds(&fleet.options().deployment).into_iter().filter_map(kind).collect(),
+        kinds: measure::kinds(&fleet.options().deployment)
+            .into_iter()
+            .filter_map(soak_kind)
+            .collect(),
         ..load::Options::default()
     })
 }
 
-/// A call onward has its own outcome, which is not the caller's: those are left out.
-fn kind(kind: CallKind) -> Option<CallKind> {
-    let timeout_ms = Some(PATIENCE.as_millis() as u64);
-    let work_us = if kind.is_idempotent() { kind.work_us } else { Some(BOOKING_US) };
+/// Returns `kind` with the soak's timeout and work time, or `None` if the upstream makes a call of
+/// its own to serve it: the nested call's outcome isn't the caller's, and can't be checked here.
+fn soak_kind(kind: CallKind) -> Option<CallKind> {
+    let timeout_ms = Some(CALL_TIMEOUT.as_millis() as u64);
+    let work_us = if kind.is_idempotent() { kind.work_us } else { Some(BOOKING_WORK_US) };
     kind.onward.is_empty().then_some(CallKind { timeout_ms, work_us, ..kind })
 }
--- a/crates/sycamore-bench/src/soak/play.rs
+++ b/crates/sycamore-bench/src/soak/play.rs
@@ -1,4 +1,4 @@
-//! Playing events on a fleet.
+//! Carries out scheduled fault events on a fleet.
 
 use super::promises::Promises;
 use super::schedule::{Deed, Event, Part};
@@ -12,28 +12,28 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Time that a node has to end by itself, which the users allow.
-const GRACE: Duration = Duration::from_secs(6);
-/// Time between two looks at whether it has.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time within which a node must exit after SIGTERM, as the users require.
+const SHUTDOWN_LIMIT: Duration = Duration::from_secs(6);
+/// Time between two checks of whether a node has exited.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Plays events on `fleet`.
+/// Carries out events on a fleet and records which callers they may affect.
 pub struct Player<'a> {
-    /// The fleet.
+    /// Fleet on which events are carried out.
     pub fleet: &'a Fleet,
-    /// What was promised.
+    /// Checker that is told of disturbances and violations.
     pub promises: &'a Promises,
-    /// Configurations written so far.
+    /// Number of configurations that were sent so far, also without success.
     pub changes: &'a Cell<u64>,
-    /// The newest configuration that was acknowledged.
+    /// Highest version of a configuration that a node acknowledged; 0 before the first.
     pub newest: &'a Cell<u64>,
 }
 
 impl Player<'_> {
-    /// Plays `event` to its end.
+    /// Waits until `event` is due, begins it, and undoes it after its duration.
     ///
     /// # Errors
-    /// Where the fleet itself can't be used.
+    /// The error of a fleet operation that failed.
     pub async fn play(&self, event: &Event) -> Result<()> {
         monoio::time::sleep(event.at).await;
         eprintln!(
@@ -48,11 +48,11 @@
         if disturbs {
             self.promises.disturbed(addr, now_us());
         }
-        // Another event may start the process again meanwhile.
-        let told = self.fleet.node_pid(&event.instance).ok();
+        // Read before the event, because another event may restart the node meanwhile.
+        let node_pid = self.fleet.node_pid(&event.instance).ok();
         self.begin(event).await?;
         monoio::time::sleep(event.lasts).await;
-        self.end(event, told).await?;
+        self.end(event, node_pid).await?;
         if disturbs {
             self.promises.calmed(addr, now_us());
         }
@@ -81,29 +81,30 @@
             }
             Deed::Outage => {
                 let outage_ms = Some(event.lasts.as_millis() as u64);
-                self.control(Control { outage_ms, ..Control::default() }).await;
+                self.control_platform(Control { outage_ms, ..Control::default() }).await;
             }
             Deed::Slow(time) => {
                 let slow_ms = Some(time.as_millis() as u64);
-                self.control(Control { slow_ms, ..Control::default() }).await;
+                self.control_platform(Control { slow_ms, ..Control::default() }).await;
             }
             Deed::LoseAnswers(count) => {
-                self.control(Control { lost_answers: Some(count), ..Control::default() }).await;
+                self.control_platform(Control { lost_answers: Some(count), ..Control::default() })
+                    .await;
             }
-            Deed::Change => self.change().await,
+            Deed::Change => self.change_config().await,
         }
         Ok(())
     }
 
-    /// `told` is the node's process when the event began.
-    async fn end(&self, event: &Event, told: Option<i32>) -> Result<()> {
+    /// Undoes `event`; `node_pid` is the id of the node's process when the event began.
+    async fn end(&self, event: &Event, node_pid: Option<i32>) -> Result<()> {
         let (fleet, instance) = (self.fleet, &*event.instance);
         match event.deed {
             Deed::Kill(Part::Node) | Deed::Skew(_) => fleet.start_node(instance),
             Deed::Kill(Part::Upstream) => fleet.start_upstream(instance),
             Deed::Stop(Part::Node) => {
-                if let Some(pid) = told {
-                    self.wait_end(instance, pid).await;
+                if let Some(pid) = node_pid {
+                    self.check_exit(instance, pid).await;
                 }
                 fleet.start_node(instance)
             }
@@ -117,7 +118,7 @@
                 Ok(())
             }
             Deed::Slow(_) => {
-                self.control(Control { slow_ms: Some(0), ..Control::default() }).await;
+                self.control_platform(Control { slow_ms: Some(0), ..Control::default() }).await;
                 Ok(())
             }
             Deed::Reset(_) | Deed::Mute(_) | Deed::Outage | Deed::LoseAnswers(_) | Deed::Change => {
@@ -126,45 +127,48 @@
         }
     }
 
-    /// Events overlap: the process may be dead already.
+    /// Sends `signal` to a process of `instance`. A failure is only printed, because events overlap and
+    /// the process may be dead already.
     fn signal(&self, instance: &str, part: Part, signal: Signal) {
-        let told = match part {
+        let sent = match part {
             Part::Node => self.fleet.signal_node(instance, signal),
             Part::Upstream => self.fleet.signal_upstream(instance, signal),
         };
-        if let Err(report) = told {
+        if let Err(report) = sent {
             eprintln!("         {signal} {instance}: {}", report.current_context());
         }
     }
 
-    /// Waits for the node's process `pid`, which was told to stop. Time for which another event has
-    /// it paused does not count.
-    async fn wait_end(&self, instance: &str, pid: i32) {
+    /// Waits for the exit of the node's process `pid`, which got SIGTERM, and records a violation if
+    /// it takes longer than [`SHUTDOWN_LIMIT`]. Time during which another event keeps the process
+    /// paused does not count.
+    async fn check_exit(&self, instance: &str, pid: i32) {
         let mut ran = Duration::ZERO;
-        let is_there = || {
+        let is_running = || {
             let same = self.fleet.node_pid(instance).is_ok_and(|now| now == pid);
             same && self.fleet.node_ended(instance).is_none()
         };
-        while is_there() {
-            if ran > GRACE {
+        while is_running() {
+            if ran > SHUTDOWN_LIMIT {
                 let seen = format!("{instance}, process {pid}");
                 return self.promises.broken("node outlives its grace", seen);
             }
-            monoio::time::sleep(LOOK).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
             if !is_paused(pid) {
-                ran += LOOK;
+                ran += POLL_INTERVAL;
             }
         }
     }
 
-    async fn control(&self, control: Control) {
+    async fn control_platform(&self, control: Control) {
         if let Err(report) = self.fleet.control_platform(&control).await {
-            eprintln!("         platform: {}", report.current_context());
+            eprintln!("         control of the platform: {}", report.current_context());
         }
     }
 
-    /// Writes a configuration with one route more; an operator gives up where no node takes it.
-    async fn change(&self) {
+    /// Applies a configuration with one additional route. A failure is only printed: during faults no
+    /// node may be able to accept it.
+    async fn change_config(&self) {
         let number = self.changes.get() + 1;
         self.changes.set(number);
         let mut resources = self.fleet.options().deployment.resources();
@@ -175,19 +179,22 @@
         }));
         match self.fleet.apply_resources("soak", resources).await {
             Ok(version) => self.newest.set(self.newest.get().max(version)),
-            Err(report) => eprintln!("         change: {}", report.current_context()),
+            Err(report) => {
+                eprintln!("         configuration {number}: {}", report.current_context());
+            }
         }
     }
 }
 
-/// Whether the process was stopped by a signal, as the kernel tells.
+/// Returns whether the process `pid` is stopped by a signal, according to `/proc/{pid}/stat`.
 fn is_paused(pid: i32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // The state follows the name, which ends with the last parenthesis.
+    // The state follows the command name, which ends with the last parenthesis of the line.
     stat.rsplit_once(") ").is_some_and(|(_, rest)| rest.starts_with('T'))
 }
 
-/// Whether callers of the instance may feel an event there, however the node is built.
+/// Returns whether an event may delay or break calls sent to the instance's node, whatever the node
+/// does about it.
 fn disturbs_callers(deed: Deed) -> bool {
     match deed {
         Deed::Kill(Part::Node) | Deed::Stop(Part::Node) | Deed::Pause(Part::Node) => true,
--- a/crates/sycamore-bench/src/soak/promises.rs
+++ b/crates/sycamore-bench/src/soak/promises.rs
@@ -1,4 +1,4 @@
-//! What callers, upstreams and operators were promised, checked while events go on.
+//! Checks the invariants promised to callers, upstreams and operators while faults are injected.
 
 use crate::load::{Ended, Record};
 use crate::measure::Violations;
@@ -8,31 +8,34 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time that callers say they wait.
-pub const PATIENCE: Duration = Duration::from_secs(2);
-/// Time after [`PATIENCE`] by which the final answer must be there, at nodes that nothing disturbs:
-/// what the users allow after a route's time limit.
+/// Timeout that callers send with each call.
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after [`CALL_TIMEOUT`] within which the final answer must arrive from an undisturbed node:
+/// what the users allow after a route's timeout.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// Time that work may still reach an upstream after it began to leave, as the users allow, in
-/// microseconds.
+/// Time after the start of an upstream's drain during which calls may still reach it, as the users
+/// allow, in microseconds.
 const DRAIN_ALLOWED_US: u64 = 3_000_000;
-/// A refusal of a repeat because the first is under way; true although the key ran.
+/// Reason of a refusal of a repeated call while the first call with its key is running: a correct
+/// answer although the key has run.
 const IN_PROGRESS: &str = "in-progress";
 
-/// A broken promise: its name, and what was seen.
+/// Violated invariant: its name, and the observation that shows it.
 pub type Breach = (&'static str, String);
 
-/// Time in which something disturbed the callers of an address, in microseconds since the epoch;
-/// without an end while it goes on.
+/// Period in which a fault affects the callers of one address.
 #[derive(Debug, Clone, Copy)]
 struct Window {
+    /// Start, in microseconds since the Unix epoch.
     from_us: u64,
+    /// End, in microseconds since the Unix epoch; `None` while the fault goes on.
     to_us: Option<u64>,
-    /// Calls on connections that went silent for good get no answer; others do.
+    /// The fault is connections that went silent for good: it excuses calls without an answer only,
+    /// because calls on other connections are answered.
     silent: bool,
 }
 
-/// What was seen so far.
+/// Checker of the invariants, with the calls, disturbances and violations recorded so far.
 #[derive(Debug, Default)]
 pub struct Promises {
     records: RefCell<HashMap<String, Vec<Record>>>,
@@ -41,25 +44,25 @@
 }
 
 impl Promises {
-    /// Notes a call that ended.
+    /// Records a call that ended.
     pub fn seen(&self, record: &Record) {
         self.records.borrow_mut().entry(record.token.clone()).or_default().push(record.clone());
     }
 
-    /// Notes that something begins to disturb the callers of `addr`.
+    /// Records that a fault which affects the callers of `addr` begins.
     pub fn disturbed(&self, addr: SocketAddr, now_us: u64) {
         let window = Window { from_us: now_us, to_us: None, silent: false };
         self.windows.borrow_mut().entry(addr).or_default().push(window);
     }
 
-    /// Notes that the connections which the callers of `addr` have open go silent for good: what is
-    /// sent on them reaches nobody.
+    /// Records that the open connections of the callers of `addr` go silent for good: bytes sent on
+    /// them are discarded.
     pub fn silenced(&self, addr: SocketAddr, now_us: u64) {
         let window = Window { from_us: now_us, to_us: None, silent: true };
         self.windows.borrow_mut().entry(addr).or_default().push(window);
     }
 
-    /// Notes that one of the things that disturb the callers of `addr` ends.
+    /// Records that one of the faults which affect the callers of `addr` ends.
     pub fn calmed(&self, addr: SocketAddr, now_us: u64) {
         let mut windows = self.windows.borrow_mut();
         let open =
@@ -69,12 +72,12 @@
         }
     }
 
-    /// Notes a broken promise that was seen elsewhere.
+    /// Records a violation of the invariant `name`, shown by `seen`.
     pub fn broken(&self, name: &'static str, seen: String) {
         self.breaches.borrow_mut().insert((name, seen));
     }
 
-    /// Checks all calls so far against what upstreams reported.
+    /// Checks all calls recorded so far against the runs that upstreams reported.
     pub fn check(&self, ledger: &Ledger) {
         let runs = ledger.runs();
         for (token, records) in self.records.borrow().iter() {
@@ -82,9 +85,9 @@
             if ran > 1 && !records[0].idempotent {
                 self.broken("ran twice", format!("{token}: {records:?}, {:?}", runs[&**token]));
             }
-            // While another sending is under way, that one may be the one that ran.
-            let all = records.len() == records[0].sendings;
-            if ran > 0 && all && records.iter().all(is_denied) {
+            // While a second sending has no answer yet, it may be the one that ran.
+            let all_ended = records.len() == records[0].sendings;
+            if ran > 0 && all_ended && records.iter().all(is_refused_as_not_run) {
                 self.broken("not run, and ran", format!("{token}: {records:?}"));
             }
             for record in records {
@@ -103,13 +106,13 @@
             Ended::Short => self.broken("answer not whole", format!("{record:?}")),
             _ => {}
         }
-        let late = record.latency > PATIENCE + ANSWER_SLACK;
+        let late = record.latency > CALL_TIMEOUT + ANSWER_SLACK;
         if late && !self.was_disturbed(record) {
             self.broken("answer late", format!("{record:?}"));
         }
     }
 
-    /// Checks what was seen of configurations.
+    /// Records a violation for each kind of wrong configuration counted in `seen`.
     pub fn check_configs(&self, seen: &Violations) {
         let counts = [
             ("configuration went back", seen.config_went_back),
@@ -123,12 +126,12 @@
         }
     }
 
-    /// The broken promises.
+    /// Returns the violations recorded so far, sorted by name.
     pub fn breaches(&self) -> Vec<Breach> {
         self.breaches.borrow().iter().cloned().collect()
     }
 
-    /// Calls by how they ended.
+    /// Returns the number of recorded calls per [`Ended`] variant, keyed by the variant's name.
     pub fn counts(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for record in self.records.borrow().values().flatten() {
@@ -137,18 +140,19 @@
         counts
     }
 
+    /// Returns whether a fault excuses a late answer to the call.
     fn was_disturbed(&self, record: &Record) -> bool {
         let Some(addr) = record.addr else { return true };
         let ended_us = record.sent_us + record.latency.as_micros() as u64;
         let windows = self.windows.borrow();
-        let mut met = windows.get(&addr).into_iter().flatten();
-        met.any(|w| {
-            let meets = w.from_us <= ended_us && w.to_us.is_none_or(|to| to >= record.sent_us);
-            meets && (!w.silent || record.ended == Ended::TimedOut)
+        windows.get(&addr).into_iter().flatten().any(|w| {
+            let overlaps = w.from_us <= ended_us && w.to_us.is_none_or(|to| to >= record.sent_us);
+            overlaps && (!w.silent || record.ended == Ended::TimedOut)
         })
     }
 }
 
-fn is_denied(record: &Record) -> bool {
+/// Returns whether the answer claims that no request with the call's key has run.
+fn is_refused_as_not_run(record: &Record) -> bool {
     record.ended == Ended::Refused && record.reason.as_deref() != Some(IN_PROGRESS)
 }
--- a/crates/sycamore-bench/src/soak/schedule.rs
+++ b/crates/sycamore-bench/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! What happens when: drawn from a seed.
+//! Draws the schedule of fault events from a seed.
 
 use crate::fleet::Hop;
 use crate::proxy::{Fault, Way};
@@ -8,72 +8,73 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Time between two events, in milliseconds. Events last longer than this, so that they overlap.
+/// Time between the starts of two events, in milliseconds. Most events last longer, so that they
+/// overlap.
 const GAP_MS: Range<u64> = 300..1_400;
-/// Time that an event lasts, in milliseconds: from shorter than any timeout to longer than a node
-/// takes to be given up.
+/// Duration of an event, in milliseconds: from shorter than any timeout to longer than it takes
+/// until a node is considered dead.
 const LASTS_MS: Range<u64> = 300..6_000;
-/// Longest time that bytes of a call are held up, in milliseconds: below half of the fleet's
-/// [`crate::fleet::KEY_MEMORY`], within which a repeat must arrive. (Where nobody confirms them, a
-/// node's own connections are closed after two seconds; the proxy confirms.)
-const HELD_MS: u64 = 1_400;
-/// Time by which a delayed way is delayed, in milliseconds.
+/// Longest time for which the bytes of a call are held back, in milliseconds: below half of the
+/// fleet's [`crate::fleet::KEY_MEMORY`], within which a repeated call must arrive. A node closes a
+/// connection whose bytes stay unacknowledged for two seconds, but the proxy acknowledges them.
+const MAX_CALL_HOLD_MS: u64 = 1_400;
+/// Added delay of a link or of the platform's answers, in milliseconds.
 const DELAY_MS: Range<u64> = 5..400;
-/// Furthest that the clocks of two nodes differ.
+/// Largest difference between the clocks of two nodes, in milliseconds.
 const MAX_SKEW_MS: u64 = 5_000;
-/// Answers that the platform loses at once.
+/// Number of consecutive answers that the platform loses.
 const LOST_ANSWERS: Range<u32> = 1..6;
 
-/// A process of an instance.
+/// Process of an instance that an event acts on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Part {
-    /// The node.
+    /// The node's process.
     Node,
-    /// The upstream.
+    /// The upstream's process.
     Upstream,
 }
 
-/// What an event does, and undoes at its end.
+/// Fault or change that an event causes and, where it lasts, undoes at its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Deed {
-    /// SIGKILL; started again at the end.
+    /// Kills the process with SIGKILL; restarts it at the end.
     Kill(Part),
-    /// SIGTERM; started again at the end, once it has ended by itself.
+    /// Sends SIGTERM to the process; restarts it at the end, a node once it has exited.
     Stop(Part),
-    /// SIGSTOP, and SIGCONT at the end.
+    /// Pauses the process with SIGSTOP; continues it with SIGCONT at the end.
     Pause(Part),
-    /// SIGKILL; started again at the end with a clock ahead by so much.
+    /// Kills the node with SIGKILL; restarts it at the end with its clock ahead by this much.
     Skew(Duration),
-    /// A way is disturbed.
+    /// Disturbs a link; restores it at the end.
     Disturb(Hop, Fault),
-    /// Open connections of a way are reset.
+    /// Resets the open connections of a link.
     Reset(Hop),
-    /// Open connections of a way go silent for good.
+    /// Makes the open connections of a link silent for good.
     Mute(Hop),
-    /// The platform answers 503 to all.
+    /// Lets the platform answer every request with 503; it ends by itself.
     Outage,
-    /// The platform's answers come so much later.
+    /// Delays the platform's answers by this much; ends the delay at the end.
     Slow(Duration),
-    /// The platform performs so many writes and loses the answers.
+    /// Lets the platform perform this many writes without answering them.
     LoseAnswers(u32),
-    /// An operator writes a configuration.
+    /// Applies a new configuration as an operator.
     Change,
 }
 
-/// One event.
+/// Scheduled fault or change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// When it begins, from the start of the load.
+    /// Start of the event, counted from the start of the load.
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration of the event.
     pub lasts: Duration,
-    /// The instance that it meets, where it meets one.
+    /// Name of the instance that the event acts on; drawn but unused for events of the platform.
     pub instance: String,
-    /// What it does.
+    /// Fault or change that the event causes.
     pub deed: Deed,
 }
 
-/// Events within `time` for `instances`, in order.
+/// Draws the events within `time` for `instances`, in order of their start.
 pub fn plan(seed: u64, time: Duration, instances: &[String]) -> Vec<Event> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut events = Vec::new();
@@ -81,24 +82,25 @@
     while at < time {
         let drawn = Duration::from_millis(rng.random_range(LASTS_MS));
         let instance = instances.choose(&mut rng).cloned().unwrap_or_default();
-        let deed = draw(&mut rng);
-        let lasts = drawn.min(longest(deed)).min(time - at);
+        let deed = draw_deed(&mut rng);
+        let lasts = drawn.min(max_duration(deed)).min(time - at);
         events.push(Event { at, lasts, instance, deed });
         at += Duration::from_millis(rng.random_range(GAP_MS));
     }
     events
 }
 
-fn longest(deed: Deed) -> Duration {
+/// Returns the longest duration of an event that does `deed`.
+fn max_duration(deed: Deed) -> Duration {
     match deed {
         Deed::Disturb(Hop::Caller | Hop::Relay, Fault::Cut(_) | Fault::Silence) => {
-            Duration::from_millis(HELD_MS)
+            Duration::from_millis(MAX_CALL_HOLD_MS)
         }
         _ => Duration::MAX,
     }
 }
 
-fn draw(rng: &mut SmallRng) -> Deed {
+fn draw_deed(rng: &mut SmallRng) -> Deed {
     let part = if rng.random() { Part::Node } else { Part::Upstream };
     let hop = *Hop::ALL.choose(rng).expect("there are hops");
     let ms = |rng: &mut SmallRng, range| Duration::from_millis(rng.random_range(range));
