--- a/crates/sycamore-bench/src/soak/mod.rs
+++ b/crates/sycamore-bench/src/soak/mod.rs
@@ -5,7 +5,7 @@
 mod promises;
 pub mod schedule;
 
-pub use promises::{Breach, Promises};
+pub use promises::{Breach, Invariants};
 
 use crate::fleet::{
     ConfigWatch, Deployment, Fleet, Options as FleetOptions, ServiceSpec, KEY_MEMORY,
@@ -110,11 +110,12 @@
     if let Either::Right(_) = select(pin!(warmup), pin!(fleet.tend())).await {
         unreachable!("Fleet::tend never returns");
     }
-    let promises = Promises::default();
+    let invariants = Invariants::default();
     let events = schedule::plan(seed, time, &fleet.names());
     let watch = ConfigWatch::default();
     let (changes, newest) = (Cell::new(0), Cell::new(0));
-    let player = Player { fleet: &fleet, promises: &promises, changes: &changes, newest: &newest };
+    let player =
+        Player { fleet: &fleet, invariants: &invariants, changes: &changes, newest: &newest };
     let done = Cell::new(false);
     let play_all = async {
         let results = join_all(events.iter().map(|event| player.play(event))).await;
@@ -122,28 +123,29 @@
         results.into_iter().collect::<Result<Vec<()>>>()
     };
     let load = load_options(&fleet, seed, time * 4)?;
-    let calls = load::run_watched(&load, || done.get(), |record| promises.seen(record));
+    let calls = load::run_watched(&load, || done.get(), |record| invariants.record_call(record));
     let checks = async {
         loop {
             monoio::time::sleep(CHECK_INTERVAL).await;
-            promises.check(&fleet.witness().so_far());
-            promises.check_configs(&watch.violations());
+            invariants.check_calls(&fleet.witness().so_far());
+            invariants.check_configs(&watch.violations());
         }
     };
     let background = join(join(fleet.tend(), watch.run(&fleet)), checks);
     let run = async {
         let (_, played) = join(calls, play_all).await;
         played?;
-        check_recovery(&fleet, &promises, &watch, newest.get(), seed).await
+        check_recovery(&fleet, &invariants, &watch, newest.get(), seed).await
     };
     if let Either::Left((result, _)) = select(pin!(run), pin!(background)).await {
         result?;
     }
-    promises.check(&fleet.witness().ledger().await);
-    promises.check_configs(&watch.violations());
-    let breaches = promises.breaches();
+    invariants.check_calls(&fleet.witness().ledger().await);
+    invariants.check_configs(&watch.violations());
+    let breaches = invariants.breaches();
     let logs = fleet.dir().display().to_string();
-    let outcome = Outcome { seed, events: events.len(), calls: promises.counts(), breaches, logs };
+    let outcome =
+        Outcome { seed, events: events.len(), calls: invariants.call_counts(), breaches, logs };
     match outcome.breaches.is_empty() {
         true => fleet.stop().await,
         false => fleet.stop_and_keep().await,
@@ -155,7 +157,7 @@
 /// not older than `newest`, and answer every call of a fresh load.
 async fn check_recovery(
     fleet: &Fleet,
-    promises: &Promises,
+    invariants: &Invariants,
     watch: &ConfigWatch,
     newest: u64,
     seed: u64,
@@ -168,14 +170,15 @@
         fleet.wait_for("the newest configuration on every node", at_newest).await
     };
     if let Err(report) = recovered.await {
-        promises.broken("not as before", report.current_context().to_string());
+        invariants.add_breach("not as before", report.current_context().to_string());
     }
     eprintln!("fleet ready after {:.1} s", start.elapsed().as_secs_f64());
     for round in 1.. {
         let mut load = load_options(fleet, seed + round * 1_000_000, RECOVERY_LOAD_TIME)?;
         // A service whose nodes were all restarted can't recognize repeated keys yet.
         load.kinds.retain(|kind| kind.key == load::KeyUse::None);
-        let tally = load::run_watched(&load, || false, |record| promises.seen(record)).await;
+        let tally =
+            load::run_watched(&load, || false, |record| invariants.record_call(record)).await;
         let failed: Vec<_> = tally.records().iter().filter(|r| r.ended != Ended::Ok).collect();
         if failed.is_empty() {
             break;
@@ -184,7 +187,7 @@
         eprintln!("{} calls failed in the load that ended after {elapsed:.1} s", failed.len());
         if start.elapsed() > RECOVERY_LIMIT {
             for record in failed {
-                promises.broken("call failed after all was over", format!("{record:?}"));
+                invariants.add_breach("call failed after all was over", format!("{record:?}"));
             }
             break;
         }
--- a/crates/sycamore-bench/src/soak/play.rs
+++ b/crates/sycamore-bench/src/soak/play.rs
@@ -1,7 +1,7 @@
 //! Carries out scheduled fault events on a fleet.
 
-use super::promises::Promises;
-use super::schedule::{Deed, Event, Part};
+use super::promises::Invariants;
+use super::schedule::{Action, Event, Part};
 use crate::fleet::{Fleet, Hop};
 use crate::proxy::Fault;
 use crate::stand_in::platform::Control;
@@ -22,7 +22,7 @@
     /// Fleet on which events are carried out.
     pub fleet: &'a Fleet,
     /// Checker that is told of disturbances and violations.
-    pub promises: &'a Promises,
+    pub invariants: &'a Invariants,
     /// Number of configurations that were sent so far, also without success.
     pub changes: &'a Cell<u64>,
     /// Highest version of a configuration that a node acknowledged; 0 before the first.
@@ -39,14 +39,14 @@
         eprintln!(
             "{:6.2} s {:?} {} for {:?}",
             event.at.as_secs_f64(),
-            event.deed,
+            event.action,
             event.instance,
             event.lasts
         );
         let addr = self.fleet.front_for_callers(&event.instance)?;
-        let disturbs = disturbs_callers(event.deed);
+        let disturbs = disturbs_callers(event.action);
         if disturbs {
-            self.promises.disturbed(addr, now_us());
+            self.invariants.begin_disturbance(addr, now_us());
         }
         // Read before the event, because another event may restart the node meanwhile.
         let node_pid = self.fleet.node_pid(&event.instance).ok();
@@ -54,44 +54,44 @@
         monoio::time::sleep(event.lasts).await;
         self.end(event, node_pid).await?;
         if disturbs {
-            self.promises.calmed(addr, now_us());
+            self.invariants.end_disturbance(addr, now_us());
         }
         Ok(())
     }
 
     async fn begin(&self, event: &Event) -> Result<()> {
         let (fleet, instance) = (self.fleet, &*event.instance);
-        match event.deed {
-            Deed::Kill(Part::Node) => fleet.kill_node(instance)?,
-            Deed::Kill(Part::Upstream) => fleet.kill_upstream(instance)?,
-            Deed::Skew(ahead) => {
+        match event.action {
+            Action::Kill(Part::Node) => fleet.kill_node(instance)?,
+            Action::Kill(Part::Upstream) => fleet.kill_upstream(instance)?,
+            Action::Skew(ahead) => {
                 fleet.set_clock_ahead(instance, ahead)?;
                 fleet.kill_node(instance)?;
             }
-            Deed::Stop(part) => self.signal(instance, part, Signal::SIGTERM),
-            Deed::Pause(part) => self.signal(instance, part, Signal::SIGSTOP),
-            Deed::Disturb(hop, fault) => fleet.link(instance, hop)?.set(fault),
-            Deed::Reset(hop) => fleet.link(instance, hop)?.reset(),
-            Deed::Mute(hop) => {
+            Action::Stop(part) => self.signal(instance, part, Signal::SIGTERM),
+            Action::Pause(part) => self.signal(instance, part, Signal::SIGSTOP),
+            Action::Disturb(hop, fault) => fleet.link(instance, hop)?.set(fault),
+            Action::Reset(hop) => fleet.link(instance, hop)?.reset(),
+            Action::Mute(hop) => {
                 fleet.link(instance, hop)?.mute();
                 if hop == Hop::Caller {
                     let addr = fleet.front_for_callers(instance)?;
-                    self.promises.silenced(addr, now_us());
+                    self.invariants.begin_silence(addr, now_us());
                 }
             }
-            Deed::Outage => {
+            Action::Outage => {
                 let outage_ms = Some(event.lasts.as_millis() as u64);
                 self.control_platform(Control { outage_ms, ..Control::default() }).await;
             }
-            Deed::Slow(time) => {
+            Action::Slow(time) => {
                 let slow_ms = Some(time.as_millis() as u64);
                 self.control_platform(Control { slow_ms, ..Control::default() }).await;
             }
-            Deed::LoseAnswers(count) => {
+            Action::LoseAnswers(count) => {
                 self.control_platform(Control { lost_answers: Some(count), ..Control::default() })
                     .await;
             }
-            Deed::Change => self.change_config().await,
+            Action::Change => self.change_config().await,
         }
         Ok(())
     }
@@ -99,31 +99,33 @@
     /// Undoes `event`; `node_pid` is the id of the node's process when the event began.
     async fn end(&self, event: &Event, node_pid: Option<i32>) -> Result<()> {
         let (fleet, instance) = (self.fleet, &*event.instance);
-        match event.deed {
-            Deed::Kill(Part::Node) | Deed::Skew(_) => fleet.start_node(instance),
-            Deed::Kill(Part::Upstream) => fleet.start_upstream(instance),
-            Deed::Stop(Part::Node) => {
+        match event.action {
+            Action::Kill(Part::Node) | Action::Skew(_) => fleet.start_node(instance),
+            Action::Kill(Part::Upstream) => fleet.start_upstream(instance),
+            Action::Stop(Part::Node) => {
                 if let Some(pid) = node_pid {
                     self.check_exit(instance, pid).await;
                 }
                 fleet.start_node(instance)
             }
-            Deed::Stop(Part::Upstream) => fleet.start_upstream(instance),
-            Deed::Pause(part) => {
+            Action::Stop(Part::Upstream) => fleet.start_upstream(instance),
+            Action::Pause(part) => {
                 self.signal(instance, part, Signal::SIGCONT);
                 Ok(())
             }
-            Deed::Disturb(hop, _) => {
+            Action::Disturb(hop, _) => {
                 fleet.link(instance, hop)?.set(Fault::None);
                 Ok(())
             }
-            Deed::Slow(_) => {
+            Action::Slow(_) => {
                 self.control_platform(Control { slow_ms: Some(0), ..Control::default() }).await;
                 Ok(())
             }
-            Deed::Reset(_) | Deed::Mute(_) | Deed::Outage | Deed::LoseAnswers(_) | Deed::Change => {
-                Ok(())
-            }
+            Action::Reset(_)
+            | Action::Mute(_)
+            | Action::Outage
+            | Action::LoseAnswers(_)
+            | Action::Change => Ok(()),
         }
     }
 
@@ -151,7 +153,7 @@
         while is_running() {
             if ran > SHUTDOWN_LIMIT {
                 let seen = format!("{instance}, process {pid}");
-                return self.promises.broken("node outlives its grace", seen);
+                return self.invariants.add_breach("node outlives its grace", seen);
             }
             monoio::time::sleep(POLL_INTERVAL).await;
             if !is_paused(pid) {
@@ -195,14 +197,14 @@
 
 /// Returns whether an event may delay or break calls sent to the instance's node, whatever the node
 /// does about it.
-fn disturbs_callers(deed: Deed) -> bool {
-    match deed {
-        Deed::Kill(Part::Node) | Deed::Stop(Part::Node) | Deed::Pause(Part::Node) => true,
-        Deed::Skew(_) => true,
-        Deed::Disturb(hop, _) | Deed::Reset(hop) | Deed::Mute(hop) => hop == Hop::Caller,
-        Deed::Kill(Part::Upstream) | Deed::Stop(Part::Upstream) | Deed::Pause(Part::Upstream) => {
-            false
-        }
-        Deed::Outage | Deed::Slow(_) | Deed::LoseAnswers(_) | Deed::Change => false,
+fn disturbs_callers(action: Action) -> bool {
+    match action {
+        Action::Kill(Part::Node) | Action::Stop(Part::Node) | Action::Pause(Part::Node) => true,
+        Action::Skew(_) => true,
+        Action::Disturb(hop, _) | Action::Reset(hop) | Action::Mute(hop) => hop == Hop::Caller,
+        Action::Kill(Part::Upstream)
+        | Action::Stop(Part::Upstream)
+        | Action::Pause(Part::Upstream) => false,
+        Action::Outage | Action::Slow(_) | Action::LoseAnswers(_) | Action::Change => false,
     }
 }
--- a/crates/sycamore-bench/src/soak/promises.rs
+++ b/crates/sycamore-bench/src/soak/promises.rs
@@ -37,33 +37,33 @@
 
 /// Checker of the invariants, with the calls, disturbances and violations recorded so far.
 #[derive(Debug, Default)]
-pub struct Promises {
+pub struct Invariants {
     records: RefCell<HashMap<String, Vec<Record>>>,
     windows: RefCell<BTreeMap<SocketAddr, Vec<Window>>>,
     breaches: RefCell<BTreeSet<Breach>>,
 }
 
-impl Promises {
+impl Invariants {
     /// Records a call that ended.
-    pub fn seen(&self, record: &Record) {
+    pub fn record_call(&self, record: &Record) {
         self.records.borrow_mut().entry(record.token.clone()).or_default().push(record.clone());
     }
 
     /// Records that a fault which affects the callers of `addr` begins.
-    pub fn disturbed(&self, addr: SocketAddr, now_us: u64) {
+    pub fn begin_disturbance(&self, addr: SocketAddr, now_us: u64) {
         let window = Window { from_us: now_us, to_us: None, silent: false };
         self.windows.borrow_mut().entry(addr).or_default().push(window);
     }
 
     /// Records that the open connections of the callers of `addr` go silent for good: bytes sent on
     /// them are discarded.
-    pub fn silenced(&self, addr: SocketAddr, now_us: u64) {
+    pub fn begin_silence(&self, addr: SocketAddr, now_us: u64) {
         let window = Window { from_us: now_us, to_us: None, silent: true };
         self.windows.borrow_mut().entry(addr).or_default().push(window);
     }
 
     /// Records that one of the faults which affect the callers of `addr` ends.
-    pub fn calmed(&self, addr: SocketAddr, now_us: u64) {
+    pub fn end_disturbance(&self, addr: SocketAddr, now_us: u64) {
         let mut windows = self.windows.borrow_mut();
         let open =
             windows.entry(addr).or_default().iter_mut().find(|w| w.to_us.is_none() && !w.silent);
@@ -73,22 +73,22 @@
     }
 
     /// Records a violation of the invariant `name`, shown by `seen`.
-    pub fn broken(&self, name: &'static str, seen: String) {
+    pub fn add_breach(&self, name: &'static str, seen: String) {
         self.breaches.borrow_mut().insert((name, seen));
     }
 
     /// Checks all calls recorded so far against the runs that upstreams reported.
-    pub fn check(&self, ledger: &Ledger) {
+    pub fn check_calls(&self, ledger: &Ledger) {
         let runs = ledger.runs();
         for (token, records) in self.records.borrow().iter() {
             let ran = runs.get(token.as_str()).map_or(0, Vec::len);
             if ran > 1 && !records[0].idempotent {
-                self.broken("ran twice", format!("{token}: {records:?}, {:?}", runs[&**token]));
+                self.add_breach("ran twice", format!("{token}: {records:?}, {:?}", runs[&**token]));
             }
             // While a second sending has no answer yet, it may be the one that ran.
             let all_ended = records.len() == records[0].sendings;
             if ran > 0 && all_ended && records.iter().all(is_refused_as_not_run) {
-                self.broken("not run, and ran", format!("{token}: {records:?}"));
+                self.add_breach("not run, and ran", format!("{token}: {records:?}"));
             }
             for record in records {
                 self.check_answer(record);
@@ -96,19 +96,19 @@
         }
         let late = ledger.runs_after_drain(DRAIN_ALLOWED_US);
         if late > 0 {
-            self.broken("work after leaving", format!("{late} runs"));
+            self.add_breach("work after leaving", format!("{late} runs"));
         }
     }
 
     fn check_answer(&self, record: &Record) {
         match record.ended {
-            Ended::Wrong => self.broken("another's answer", format!("{record:?}")),
-            Ended::Short => self.broken("answer not whole", format!("{record:?}")),
+            Ended::Wrong => self.add_breach("another's answer", format!("{record:?}")),
+            Ended::Short => self.add_breach("answer not whole", format!("{record:?}")),
             _ => {}
         }
         let late = record.latency > CALL_TIMEOUT + ANSWER_SLACK;
         if late && !self.was_disturbed(record) {
-            self.broken("answer late", format!("{record:?}"));
+            self.add_breach("answer late", format!("{record:?}"));
         }
     }
 
@@ -121,7 +121,7 @@
         ];
         for (name, count) in counts {
             if count > 0 {
-                self.broken(name, format!("{count} times"));
+                self.add_breach(name, format!("{count} times"));
             }
         }
     }
@@ -132,7 +132,7 @@
     }
 
     /// Returns the number of recorded calls per [`Ended`] variant, keyed by the variant's name.
-    pub fn counts(&self) -> BTreeMap<String, usize> {
+    pub fn call_counts(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for record in self.records.borrow().values().flatten() {
             *counts.entry(format!("{:?}", record.ended)).or_default() += 1;
--- a/crates/sycamore-bench/src/soak/schedule.rs
+++ b/crates/sycamore-bench/src/soak/schedule.rs
@@ -36,7 +36,7 @@
 
 /// Fault or change that an event causes and, where it lasts, undoes at its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Deed {
+pub enum Action {
     /// Kills the process with SIGKILL; restarts it at the end.
     Kill(Part),
     /// Sends SIGTERM to the process; restarts it at the end, a node once it has exited.
@@ -71,7 +71,7 @@
     /// Name of the instance that the event acts on; drawn but unused for events of the platform.
     pub instance: String,
     /// Fault or change that the event causes.
-    pub deed: Deed,
+    pub action: Action,
 }
 
 /// Draws the events within `time` for `instances`, in order of their start.
@@ -82,42 +82,42 @@
     while at < time {
         let drawn = Duration::from_millis(rng.random_range(LASTS_MS));
         let instance = instances.choose(&mut rng).cloned().unwrap_or_default();
-        let deed = draw_deed(&mut rng);
-        let lasts = drawn.min(max_duration(deed)).min(time - at);
-        events.push(Event { at, lasts, instance, deed });
+        let action = draw_action(&mut rng);
+        let lasts = drawn.min(max_duration(action)).min(time - at);
+        events.push(Event { at, lasts, instance, action });
         at += Duration::from_millis(rng.random_range(GAP_MS));
     }
     events
 }
 
-/// Returns the longest duration of an event that does `deed`.
-fn max_duration(deed: Deed) -> Duration {
-    match deed {
-        Deed::Disturb(Hop::Caller | Hop::Relay, Fault::Cut(_) | Fault::Silence) => {
+/// Returns the longest duration of an event with `action`.
+fn max_duration(action: Action) -> Duration {
+    match action {
+        Action::Disturb(Hop::Caller | Hop::Relay, Fault::Cut(_) | Fault::Silence) => {
             Duration::from_millis(MAX_CALL_HOLD_MS)
         }
         _ => Duration::MAX,
     }
 }
 
-fn draw_deed(rng: &mut SmallRng) -> Deed {
+fn draw_action(rng: &mut SmallRng) -> Action {
     let part = if rng.random() { Part::Node } else { Part::Upstream };
     let hop = *Hop::ALL.choose(rng).expect("there are hops");
     let ms = |rng: &mut SmallRng, range| Duration::from_millis(rng.random_range(range));
     match rng.random_range(0..20) {
-        0..=2 => Deed::Kill(part),
-        3 | 4 => Deed::Stop(part),
-        5 | 6 => Deed::Pause(part),
-        7 => Deed::Skew(ms(rng, 0..MAX_SKEW_MS)),
-        8 | 9 => Deed::Disturb(hop, Fault::Delay(ms(rng, DELAY_MS))),
-        10 => Deed::Disturb(hop, Fault::Cut(Way::There)),
-        11 => Deed::Disturb(hop, Fault::Cut(Way::Back)),
-        12 => Deed::Disturb(hop, Fault::Silence),
-        13 => Deed::Reset(hop),
-        14 => Deed::Mute(hop),
-        15 => Deed::Outage,
-        16 => Deed::Slow(ms(rng, DELAY_MS)),
-        17 => Deed::LoseAnswers(rng.random_range(LOST_ANSWERS)),
-        _ => Deed::Change,
+        0..=2 => Action::Kill(part),
+        3 | 4 => Action::Stop(part),
+        5 | 6 => Action::Pause(part),
+        7 => Action::Skew(ms(rng, 0..MAX_SKEW_MS)),
+        8 | 9 => Action::Disturb(hop, Fault::Delay(ms(rng, DELAY_MS))),
+        10 => Action::Disturb(hop, Fault::Cut(Way::There)),
+        11 => Action::Disturb(hop, Fault::Cut(Way::Back)),
+        12 => Action::Disturb(hop, Fault::Silence),
+        13 => Action::Reset(hop),
+        14 => Action::Mute(hop),
+        15 => Action::Outage,
+        16 => Action::Slow(ms(rng, DELAY_MS)),
+        17 => Action::LoseAnswers(rng.random_range(LOST_ANSWERS)),
+        _ => Action::Change,
     }
 }
--- a/crates/sycamore-bench/tests/soak.rs
+++ b/crates/sycamore-bench/tests/soak.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use sycamore_bench::load::{Ended, Record};
-use sycamore_bench::soak::{schedule, Promises};
+use sycamore_bench::soak::{schedule, Invariants};
 use sycamore_bench::witness::{Ledger, Sighting, SightingKind};
 
 const TIME: Duration = Duration::from_secs(20);
@@ -27,7 +27,7 @@
         let plan = schedule::plan(seed, TIME, &instances());
         overlaps += plan.windows(2).filter(|two| two[0].at + two[0].lasts > two[1].at).count();
         let name = |deed| format!("{deed:?}").split(['(', ' ']).next().unwrap_or("").to_owned();
-        kinds.extend(plan.iter().map(|event| name(event.deed)));
+        kinds.extend(plan.iter().map(|event| name(event.action)));
         assert!(plan.iter().all(|event| event.at + event.lasts <= TIME));
     }
     assert!(overlaps > 200, "{overlaps}");
@@ -67,16 +67,16 @@
     Ledger::new(vec![start; times])
 }
 
-fn names(promises: &Promises) -> Vec<&'static str> {
+fn names(promises: &Invariants) -> Vec<&'static str> {
     promises.breaches().into_iter().map(|(name, _)| name).collect()
 }
 
 #[test]
 fn each_broken_promise_is_named() {
     let judged = |record: Record, ledger: &Ledger| {
-        let promises = Promises::default();
-        promises.seen(&record);
-        promises.check(ledger);
+        let promises = Invariants::default();
+        promises.record_call(&record);
+        promises.check_calls(ledger);
         names(&promises)
     };
     assert!(judged(record(Ended::Ok), &ran(1)).is_empty());
@@ -93,11 +93,11 @@
     let late = Record { latency: Duration::from_secs(3), ..record(Ended::Unknown) };
     let addr = late.addr.expect("an address");
     let judged = |from_us, to_us| {
-        let promises = Promises::default();
-        promises.disturbed(addr, from_us);
-        promises.calmed(addr, to_us);
-        promises.seen(&late);
-        promises.check(&ran(1));
+        let promises = Invariants::default();
+        promises.begin_disturbance(addr, from_us);
+        promises.end_disturbance(addr, to_us);
+        promises.record_call(&late);
+        promises.check_calls(&ran(1));
         names(&promises)
     };
     assert!(judged(900_000, 1_100_000).is_empty());
@@ -109,10 +109,10 @@
 fn a_silent_connection_excuses_calls_without_any_answer_only() {
     let judged = |ended| {
         let late = Record { latency: Duration::from_secs(3), ..record(ended) };
-        let promises = Promises::default();
-        promises.silenced(late.addr.expect("an address"), 500_000);
-        promises.seen(&late);
-        promises.check(&ran(1));
+        let promises = Invariants::default();
+        promises.begin_silence(late.addr.expect("an address"), 500_000);
+        promises.record_call(&late);
+        promises.check_calls(&ran(1));
         names(&promises)
     };
     assert!(judged(Ended::TimedOut).is_empty());
