--- a/crates/sycamore-bench/src/witness/ledger.rs
+++ b/crates/sycamore-bench/src/witness/ledger.rs
@@ -1,39 +1,39 @@
-//! Questions to ask of what the witness saw.
+//! Queries over the reports that a witness collected.
 
 use super::{Sighting, SightingKind};
 use std::collections::HashMap;
 
-/// One run of a request.
+/// Run of a request on an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// Microseconds since the Unix epoch.
+    /// Start of the run, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// The instance that ran it.
+    /// Name of the instance that ran the request.
     pub instance: String,
-    /// Its service.
+    /// Service of that instance.
     pub service: String,
-    /// Its version.
+    /// Version of the upstream on that instance.
     pub version: String,
 }
 
-/// All that a witness saw.
+/// Reports that a witness has collected.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     sightings: Vec<Sighting>,
 }
 
 impl Ledger {
-    /// A ledger of `sightings`.
+    /// Creates a ledger of `sightings`, which are in order of arrival.
     pub fn new(sightings: Vec<Sighting>) -> Self {
         Self { sightings }
     }
 
-    /// Everything, in order of arrival.
+    /// Returns all reports in order of arrival.
     pub fn sightings(&self) -> &[Sighting] {
         &self.sightings
     }
 
-    /// The runs of each token.
+    /// Returns the runs of each request, keyed by the request's token.
     pub fn runs(&self) -> HashMap<&str, Vec<Run>> {
         let mut runs: HashMap<&str, Vec<Run>> = HashMap::new();
         for sighting in self.starts() {
@@ -42,12 +42,12 @@
         runs
     }
 
-    /// Runs that began on `instance`.
+    /// Returns the runs that began on `instance`.
     pub fn runs_on<'a>(&'a self, instance: &'a str) -> impl Iterator<Item = Run> + 'a {
         self.starts().filter(move |sighting| sighting.instance == instance).map(run)
     }
 
-    /// Runs that began on `version` of `service`.
+    /// Returns the runs that began on upstreams of `service` with `version`.
     pub fn runs_of_version<'a>(
         &'a self,
         service: &'a str,
@@ -56,7 +56,8 @@
         self.starts().filter(move |s| s.service == service && s.version == version).map(run)
     }
 
-    /// Runs that began on a leaving upstream more than `allowed_us` after it began to leave.
+    /// Counts the runs that began on a draining upstream more than `allowed_us` microseconds after the
+    /// start of its drain.
     pub fn runs_after_drain(&self, allowed_us: u64) -> usize {
         let mut drains: HashMap<&str, u64> = HashMap::new();
         let mut late = 0;
@@ -66,7 +67,7 @@
                 SightingKind::Drain => {
                     drains.insert(instance, sighting.at_us);
                 }
-                // A new process on the instance takes work again.
+                // A restarted upstream accepts requests again.
                 SightingKind::Up => {
                     drains.remove(instance);
                 }
@@ -80,7 +81,7 @@
         late
     }
 
-    /// Count of sightings of `kind`.
+    /// Counts the reports of `kind`.
     pub fn count(&self, kind: SightingKind) -> usize {
         self.sightings.iter().filter(|sighting| sighting.kind == kind).count()
     }
--- a/crates/sycamore-bench/src/witness/listen.rs
+++ b/crates/sycamore-bench/src/witness/listen.rs
@@ -1,4 +1,4 @@
-//! The witness' side: collecting.
+//! Witness: collects the reports of upstreams.
 
 use super::{Ledger, Sighting};
 use crate::{BenchError, Result};
@@ -10,13 +10,17 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Time between two looks for a new connection.
+/// Time between two checks for a new connection, and for the end of the witness.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two looks at whether all that was sent has been read.
+/// Longest wait for a line before a reader checks for the end of the witness.
+const READ_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Time without a new report after which all reports are considered read.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Collects reports on threads of its own, so that a busy load generator loses none.
+/// Collector of upstreams' reports; reads them on threads of its own, so that a busy load generator
+/// doesn't delay or lose any. Dropping it ends the threads.
 pub struct Witness {
     addr: SocketAddr,
     seen: Arc<Mutex<Vec<Sighting>>>,
@@ -25,12 +29,12 @@
 }
 
 impl Witness {
-    /// Starts to listen on `addr`; port 0 takes a free one.
+    /// Starts a witness that listens on `addr`; port 0 selects a free port.
     ///
     /// # Errors
-    /// [`BenchError::Io`] where the address is taken.
+    /// [`BenchError::Io`] if `addr` can't be bound.
     pub fn start(addr: SocketAddr) -> Result<Self> {
-        let context = || BenchError::Io(format!("witness on {addr}"));
+        let context = || BenchError::Io(format!("start witness on {addr}"));
         let listener = TcpListener::bind(addr).change_context_lazy(context)?;
         listener.set_nonblocking(true).change_context_lazy(context)?;
         let addr = listener.local_addr().change_context_lazy(context)?;
@@ -43,12 +47,12 @@
         Ok(Self { addr, seen, stop, thread: Some(thread) })
     }
 
-    /// Where upstreams report to.
+    /// Returns the address that upstreams report to.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// All reports so far, once no more arrive.
+    /// Waits until no reports arrive any more and returns all of them.
     pub async fn ledger(&self) -> Ledger {
         let mut count = usize::MAX;
         loop {
@@ -62,7 +66,7 @@
         self.so_far()
     }
 
-    /// The reports that have arrived.
+    /// Returns the reports that have arrived so far.
     pub fn so_far(&self) -> Ledger {
         Ledger::new(self.seen.lock().unwrap_or_else(PoisonError::into_inner).clone())
     }
@@ -96,9 +100,8 @@
 }
 
 fn read(stream: TcpStream, seen: &Seen, stop: &AtomicBool) {
-    let ready = stream
-        .set_nonblocking(false)
-        .and_then(|()| stream.set_read_timeout(Some(Duration::from_millis(200))));
+    let ready =
+        stream.set_nonblocking(false).and_then(|()| stream.set_read_timeout(Some(READ_TIMEOUT)));
     if ready.is_err() {
         return;
     }
@@ -107,7 +110,7 @@
     while !stop.load(Ordering::Relaxed) {
         match lines.read_until(b'\n', &mut line) {
             Ok(0) => return,
-            // A line that broke off by the timeout goes on with the next read.
+            // After a timeout `line` keeps the part that was read, and the next read appends.
             Ok(_) if line.ends_with(b"\n") => {
                 if let Ok(sighting) = serde_json::from_slice(&line) {
                     seen.lock().unwrap_or_else(PoisonError::into_inner).push(sighting);
--- a/crates/sycamore-bench/src/witness/mod.rs
+++ b/crates/sycamore-bench/src/witness/mod.rs
@@ -1,8 +1,9 @@
-//! What ran where: upstreams report each run to a witness, which outlives them when they are
-//! killed.
+//! Record of which request ran where: upstreams report each run to a witness in the harness'
+//! process, which outlives them when they are killed.
 //!
-//! Reports are lines of JSON over one TCP connection from each upstream, written before the run
-//! starts. The witness never writes, so that what a killed process has written still arrives.
+//! Each upstream sends its reports as lines of JSON over one TCP connection, the report of a run's
+//! start before the run begins. The witness never writes to the connection, so that the bytes which
+//! a process wrote before it was killed still arrive.
 
 mod ledger;
 mod listen;
--- a/crates/sycamore-bench/src/witness/report.rs
+++ b/crates/sycamore-bench/src/witness/report.rs
@@ -1,4 +1,4 @@
-//! The upstream's side: reporting.
+//! Reporter: sends an upstream's reports to the witness.
 
 use crate::{BenchError, Result};
 use error_stack::ResultExt;
@@ -8,52 +8,52 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What an upstream reports.
+/// Kind of event that an upstream reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SightingKind {
-    /// The upstream announced itself for the first time.
+    /// The upstream's node accepted its first announcement.
     Up,
-    /// A request begins to run.
+    /// A run of a request begins.
     Start,
     /// A run ended with an answer.
     End,
-    /// A run ended because its caller closed the connection.
+    /// A run ended without an answer because its caller closed the connection.
     Cancel,
     /// The upstream refused a request without running it.
     Shed,
-    /// The upstream began to leave.
+    /// The upstream began to drain.
     Drain,
 }
 
-/// One report.
+/// Report of an event on an upstream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Sighting {
-    /// What happened.
+    /// Kind of the event.
     pub kind: SightingKind,
-    /// Microseconds since the Unix epoch; all processes share one clock.
+    /// Time of the event, in microseconds since the Unix epoch; all processes share the host's clock.
     pub at_us: u64,
-    /// The upstream's instance.
+    /// Name of the upstream's instance.
     pub instance: String,
-    /// The upstream's service.
+    /// Service of the upstream.
     pub service: String,
-    /// The upstream's version.
+    /// Version of the upstream.
     pub version: String,
-    /// The request's token; empty where the report is about the upstream.
+    /// Token of the request; empty if the event concerns the upstream as a whole.
     #[serde(default)]
     pub token: String,
-    /// The request's path; empty where the report is about the upstream.
+    /// Path of the request; empty if the event concerns the upstream as a whole.
     #[serde(default)]
     pub path: String,
 }
 
-/// Microseconds since the Unix epoch.
+/// Returns the current time in microseconds since the Unix epoch.
 pub fn now_us() -> u64 {
     let passed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(passed.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Reports to a witness, or to nobody.
+/// Sender of an upstream's reports; discards them if there is no witness.
 pub struct Reporter {
     stream: Option<RefCell<TcpStream>>,
     instance: String,
@@ -62,10 +62,10 @@
 }
 
 impl Reporter {
-    /// Connects to the witness at `addr`, if there is one.
+    /// Connects to the witness at `addr`; with `None` all reports are discarded.
     ///
     /// # Errors
-    /// [`BenchError::Io`] where the witness can't be reached.
+    /// [`BenchError::Io`] if the connection fails.
     pub fn connect(
         addr: Option<SocketAddr>,
         instance: impl Into<String>,
@@ -81,7 +81,9 @@
         })
     }
 
-    /// Reports `kind` about the request `token`. The line is with the kernel when this returns.
+    /// Reports an event of `kind` for the request `token` at `path`; both are empty for an event of the
+    /// upstream as a whole. When this returns, the kernel holds the report, and a crash of this process
+    /// doesn't lose it.
     pub fn report(&self, kind: SightingKind, token: &str, path: &str) {
         let Some(stream) = &self.stream else { return };
         let sighting = Sighting {
@@ -95,7 +97,7 @@
         };
         let Ok(mut line) = serde_json::to_vec(&sighting) else { return };
         line.push(b'\n');
-        // Without its witness an experiment is over; the upstream goes on.
+        // The witness ends with the experiment; an upstream that still runs goes on without it.
         let _ = stream.borrow_mut().write_all(&line);
     }
 }
