--- a/crates/sycamore-bench/src/fleet/deployment.rs
+++ b/crates/sycamore-bench/src/fleet/deployment.rs
@@ -1,51 +1,51 @@
-//! Deployments: which services, where and how large.
+//! Emulated deployments: their services, data centres and sizes.
 
 use serde_json::{json, Value};
 
-/// A service of a deployment.
+/// Service of a deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceSpec {
-    /// Its name; its route's prefix is `/` and the name.
+    /// Name of the service; the path prefix of its route is `/` followed by the name.
     pub name: String,
-    /// Its upstreams.
+    /// Number of upstreams of the service.
     pub upstreams: usize,
 }
 
-/// A deployment.
+/// Services and locations of an emulated deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
-    /// Its name.
+    /// Name of the deployment, as `[node] deployment` of every node has it.
     pub name: String,
-    /// Its regions, each with its data centres.
+    /// Names of the regions, each with the names of its data centres.
     pub regions: Vec<(String, Vec<String>)>,
-    /// Its services.
+    /// Services of the deployment.
     pub services: Vec<ServiceSpec>,
-    /// Slots of each upstream.
+    /// Number of requests that each upstream runs at the same time.
     pub slots: u16,
 }
 
-/// Upstreams of the size to design for.
+/// Number of upstreams of the largest deployment that the system is designed for.
 const DESIGN_UPSTREAMS: usize = 930;
-/// Services of the size to design for.
+/// Number of services of the largest deployment that the system is designed for.
 const DESIGN_SERVICES: usize = 51;
 
 impl Deployment {
-    /// Zlatna Klupa's size of today: 12 upstreams.
+    /// Returns the deployment of Zlatna Klupa at its present size: 12 upstreams.
     pub fn zlatna_klupa() -> Self {
         let centres = ["hr-north-a", "hr-north-b", "hr-north-c"];
         let services = [("counter", 5), ("intake", 4), ("bench", 3)];
         Self::of("zlatna-klupa", "hr-north", &centres, &services, 12)
     }
 
-    /// Sutokatha's size of today: 11 upstreams.
+    /// Returns the deployment of Sutokatha at its present size: 11 upstreams.
     pub fn sutokatha() -> Self {
         let centres = ["kolkata", "howrah", "barasat"];
         let services = [("slotdesk", 5), ("bookbahi", 3), ("darzikhata", 3)];
         Self::of("sutokatha", "bengal", &centres, &services, 18)
     }
 
-    /// `upstreams` upstreams in two regions with six data centres, with services in the proportion
-    /// of the size to design for.
+    /// Returns a deployment with `upstreams` upstreams in two regions with three data centres each. Its
+    /// number of services is in proportion to the largest deployment that the system is designed for.
     pub fn scaled(upstreams: usize) -> Self {
         let count = (upstreams * DESIGN_SERVICES).div_ceil(DESIGN_UPSTREAMS).max(1);
         let services = (0..count).map(|i| ServiceSpec {
@@ -83,12 +83,12 @@
         }
     }
 
-    /// All upstreams.
+    /// Returns the number of upstreams of all services.
     pub fn upstreams(&self) -> usize {
         self.services.iter().map(|service| service.upstreams).sum()
     }
 
-    /// Every data centre with its region.
+    /// Returns pairs of region and data centre, one for every data centre.
     pub fn centres(&self) -> Vec<(&str, &str)> {
         self.regions
             .iter()
@@ -98,7 +98,7 @@
             .collect()
     }
 
-    /// The resources of a configuration with one route for each service.
+    /// Returns the resources of a configuration with every service and one route for each.
     pub fn resources(&self) -> Vec<Value> {
         let services =
             self.services.iter().map(|service| json!({ "kind": "service", "name": service.name }));
--- a/crates/sycamore-bench/src/fleet/faults.rs
+++ b/crates/sycamore-bench/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a fleet's processes.
+//! Kills and signals a fleet's processes.
 
 use super::{Fleet, Process};
 use crate::{BenchError, Result};
@@ -6,50 +6,55 @@
 use nix::sys::signal::Signal;
 
 impl Fleet {
-    /// Kills the node of `instance` at once.
+    /// Kills the node of `instance` with SIGKILL and waits for its end.
     ///
     /// # Errors
-    /// [`BenchError::Option`] where there is no such instance.
+    /// [`BenchError::Option`] if there is no such instance.
     pub fn kill_node(&self, instance: &str) -> Result<()> {
-        self.with(instance, |entry| {
+        self.with_instance(instance, |entry| {
             entry.node = None;
             Ok(())
         })
     }
 
-    /// Kills the upstream of `instance` at once; it stays dead.
+    /// Kills the upstream of `instance` with SIGKILL and waits for its end; [`Fleet::tend`] doesn't
+    /// restart it.
     ///
     /// # Errors
-    /// [`BenchError::Option`] where there is no such instance.
+    /// [`BenchError::Option`] if there is no such instance.
     pub fn kill_upstream(&self, instance: &str) -> Result<()> {
-        self.with(instance, |entry| {
+        self.with_instance(instance, |entry| {
             entry.upstream = None;
             Ok(())
         })
     }
 
-    /// Sends `signal` to the node of `instance`: SIGSTOP freezes it, SIGCONT thaws it, SIGTERM
+    /// Sends `signal` to the node of `instance`: SIGSTOP pauses it, SIGCONT continues it, SIGTERM
     /// drains it.
     ///
     /// # Errors
-    /// Where there is no such process.
+    /// [`BenchError::Option`] if there is no such instance or its node was not started,
+    /// [`BenchError::Io`] if the node has ended.
     pub fn signal_node(&self, instance: &str, signal: Signal) -> Result<()> {
-        self.with(instance, |entry| process(&entry.node)?.signal(signal))
+        self.with_instance(instance, |entry| process(&entry.node)?.signal(signal))
     }
 
-    /// Sends `signal` to the upstream of `instance`, which is not started again if it ends.
+    /// Sends `signal` to the upstream of `instance`; [`Fleet::tend`] doesn't restart it from then on.
     ///
     /// # Errors
-    /// Where there is no such process.
+    /// [`BenchError::Option`] if there is no such instance or its upstream was not started,
+    /// [`BenchError::Io`] if the upstream has ended.
     pub fn signal_upstream(&self, instance: &str, signal: Signal) -> Result<()> {
-        self.with(instance, |entry| {
+        self.with_instance(instance, |entry| {
             entry.respawn = false;
             process(&entry.upstream)?.signal(signal)
         })
     }
 }
 
-/// The process, where it was started.
+/// Returns the process, or [`BenchError::Option`] if it was killed or not started.
 pub(super) fn process(process: &Option<Process>) -> Result<&Process> {
-    process.as_ref().ok_or_else(|| Report::new(BenchError::Option("process not started".into())))
+    process.as_ref().ok_or_else(|| {
+        Report::new(BenchError::Option("the process is killed or was not started".into()))
+    })
 }
--- a/crates/sycamore-bench/src/fleet/front.rs
+++ b/crates/sycamore-bench/src/fleet/front.rs
@@ -1,4 +1,4 @@
-//! Disturbing the ways between a fleet's processes.
+//! Disturbs the network links between a fleet's processes.
 
 use super::{Fleet, Front, Hop, Net};
 use crate::proxy::{Link, Proxy, Route, Transport};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Starts the proxy before the instance with this number.
+/// Starts the proxy in front of the instance with this number, with one link per hop.
 pub(super) fn start(net: &Net, number: usize) -> Result<Front> {
     let mut links: BTreeMap<Hop, Arc<Link>> = BTreeMap::new();
     let mut routes = Vec::new();
@@ -26,31 +26,37 @@
 }
 
 impl Fleet {
-    /// The way over `hop` at `instance`.
+    /// Returns the link that disturbs the traffic over `hop` at `instance`.
     ///
     /// # Errors
-    /// [`BenchError::Option`] where there is no such instance, or none is disturbed.
+    /// [`BenchError::Option`] if there is no such instance, or the fleet was started without
+    /// [`super::Options::disturbed`].
     pub fn link(&self, instance: &str, hop: Hop) -> Result<Arc<Link>> {
-        self.with(instance, |entry| {
+        self.with_instance(instance, |entry| {
             let link = entry.front.as_ref().and_then(|front| front.links.get(&hop)).cloned();
-            link.ok_or_else(|| Report::new(BenchError::Option("the fleet is not disturbed".into())))
+            link.ok_or_else(|| {
+                let what =
+                    format!("{instance} has no proxy: the fleet was started without `disturbed`");
+                Report::new(BenchError::Option(what))
+            })
         })
     }
 
-    /// Where callers reach `instance` by way of the proxy.
+    /// Returns the proxy's address at which callers reach the node of `instance`. It is only listened at
+    /// in a fleet with [`super::Options::disturbed`].
     ///
     /// # Errors
-    /// [`BenchError::Option`] where there is no such instance.
+    /// [`BenchError::Option`] if there is no such instance.
     pub fn front_for_callers(&self, instance: &str) -> Result<SocketAddr> {
         Ok(self.net.front_of(self.addrs(instance)?.caller))
     }
 
-    /// Sets how far civil time of the node of `instance` runs ahead from its next start.
+    /// Sets how far the wall clock of the node of `instance` is ahead, from the node's next start on.
     ///
     /// # Errors
-    /// [`BenchError::Option`] where there is no such instance.
+    /// [`BenchError::Option`] if there is no such instance.
     pub fn set_clock_ahead(&self, instance: &str, ahead: Duration) -> Result<()> {
-        self.with(instance, |entry| {
+        self.with_instance(instance, |entry| {
             entry.clock_ahead = ahead;
             Ok(())
         })
--- a/crates/sycamore-bench/src/fleet/guard.rs
+++ b/crates/sycamore-bench/src/fleet/guard.rs
@@ -1,7 +1,7 @@
-//! Ends every process that this one started, whatever happens to this one.
+//! Kills all started processes when this process is interrupted or a run exceeds its time limit.
 //!
-//! A started process is ended when its [`super::Process`] is dropped (also by a panic), on SIGINT
-//! and SIGTERM, and when the run's time is over. Only SIGKILL of this process leaves them behind.
+//! A started process is also killed when its [`super::Process`] is dropped, for instance by a panic.
+//! Only SIGKILL of this process leaves started processes behind.
 
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -16,40 +16,41 @@
 static STARTED: Mutex<BTreeSet<i32>> = Mutex::new(BTreeSet::new());
 static HANDLER: Once = Once::new();
 
-/// Exit status after a signal.
-const INTERRUPTED: i32 = 130;
-/// Exit status when the run's time was over.
-const OUT_OF_TIME: i32 = 124;
+/// Exit status after SIGINT or SIGTERM.
+const INTERRUPTED_STATUS: i32 = 130;
+/// Exit status after a run exceeded its time limit.
+const TIMEOUT_STATUS: i32 = 124;
 
 fn started() -> MutexGuard<'static, BTreeSet<i32>> {
     STARTED.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Remembers a started process.
+/// Registers a started process to be killed with this one.
 pub(super) fn add(pid: i32) {
     HANDLER.call_once(handle_signals);
     started().insert(pid);
 }
 
-/// Forgets a process, just before it is waited for.
+/// Removes a process that has ended or is about to be waited for: its id may then be reused.
 pub(super) fn remove(pid: i32) {
     started().remove(&pid);
 }
 
-/// A bound on the time of a run, lifted when dropped.
+/// Time limit of a run, lifted when dropped.
 pub struct RunLimit {
     lift: Option<Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Ends this process and all that it started when `limit` has passed.
+/// Exits this process and kills all processes that it started once `limit` has passed, unless the
+/// returned guard is dropped before.
 #[must_use = "the limit is lifted when dropped"]
 pub fn limit_run(limit: Duration) -> RunLimit {
     let (lift, lifted) = channel();
     let thread = std::thread::spawn(move || {
         if lifted.recv_timeout(limit) == Err(RecvTimeoutError::Timeout) {
-            eprintln!("the run took longer than {limit:?}: ended");
-            end_all(OUT_OF_TIME);
+            eprintln!("run exceeded its time limit of {limit:?}; killing all processes");
+            kill_all_and_exit(TIMEOUT_STATUS);
         }
     });
     RunLimit { lift: Some(lift), thread: Some(thread) }
@@ -68,12 +69,12 @@
     let Ok(mut signals) = Signals::new([SIGINT, SIGTERM]) else { return };
     std::thread::spawn(move || {
         if signals.forever().next().is_some() {
-            end_all(INTERRUPTED);
+            kill_all_and_exit(INTERRUPTED_STATUS);
         }
     });
 }
 
-fn end_all(status: i32) -> ! {
+fn kill_all_and_exit(status: i32) -> ! {
     for pid in started().iter() {
         let _ = kill(Pid::from_raw(*pid), Signal::SIGKILL);
     }
--- a/crates/sycamore-bench/src/fleet/inspect.rs
+++ b/crates/sycamore-bench/src/fleet/inspect.rs
@@ -1,7 +1,7 @@
-//! What a fleet is made of and uses.
+//! Reads a fleet's instances, processes, addresses and logs.
 
 use super::faults::process;
-use super::start::beside;
+use super::start::executable;
 use super::{Addrs, Fleet, Options, Process, Usage};
 use crate::witness::Witness;
 use crate::{BenchError, Result};
@@ -9,30 +9,32 @@
 use std::path::Path;
 
 impl Fleet {
-    /// What the node of `instance` has used.
+    /// Reads the processor time and memory of the node of `instance`.
     ///
     /// # Errors
-    /// Where there is no such process.
+    /// [`BenchError::Option`] if there is no such instance or its node was not started,
+    /// [`BenchError::Io`] if the node has ended.
     pub fn node_usage(&self, instance: &str) -> Result<Usage> {
         Usage::of(self.node_pid(instance)?)
     }
 
-    /// Process id of the node of `instance`.
+    /// Returns the process id of the node of `instance`.
     ///
     /// # Errors
-    /// Where there is no such process.
+    /// [`BenchError::Option`] if there is no such instance or its node was not started.
     pub fn node_pid(&self, instance: &str) -> Result<i32> {
-        self.with(instance, |entry| Ok(process(&entry.node)?.pid()))
+        self.with_instance(instance, |entry| Ok(process(&entry.node)?.pid()))
     }
 
-    /// Process id of the platform's stand-in.
+    /// Returns the process id of the platform's stand-in.
     pub fn platform_pid(&self) -> i32 {
         self.platform.borrow().pid()
     }
 
-    /// Whether the node of `instance` has ended by itself, and if so whether with success.
+    /// Returns whether the node of `instance` exited with success, or `None` if it still runs, was
+    /// killed by [`Fleet::kill_node`] or was not started.
     pub fn node_ended(&self, instance: &str) -> Option<bool> {
-        self.with(instance, |entry| {
+        self.with_instance(instance, |entry| {
             let status = entry.node.as_mut().and_then(Process::status);
             Ok(status.map(|status| status.success()))
         })
@@ -40,68 +42,71 @@
         .flatten()
     }
 
-    /// Names of all instances.
+    /// Returns the names of all instances, sorted.
     pub fn names(&self) -> Vec<String> {
         self.instances.borrow().keys().cloned().collect()
     }
 
-    /// Names of the instances whose node was started and not killed.
+    /// Returns the names of the instances whose node was started and not killed; a node that exited by
+    /// itself is included.
     pub fn running(&self) -> Vec<String> {
         let instances = self.instances.borrow();
         instances.iter().filter(|(_, e)| e.node.is_some()).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Names of the instances of `service`.
+    /// Returns the names of the instances of `service`, sorted.
     pub fn of_service(&self, service: &str) -> Vec<String> {
         let instances = self.instances.borrow();
         let of = instances.iter().filter(|(_, entry)| entry.spec.service == service);
         of.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Where `instance` listens.
+    /// Returns the addresses at which the processes of `instance` listen.
     ///
     /// # Errors
-    /// [`BenchError::Option`] where there is no such instance.
+    /// [`BenchError::Option`] if there is no such instance.
     pub fn addrs(&self, instance: &str) -> Result<Addrs> {
-        self.with(instance, |entry| Ok(entry.addrs))
+        self.with_instance(instance, |entry| Ok(entry.addrs))
     }
 
-    /// Where the platform's stand-in listens.
+    /// Returns the address at which the platform's stand-in listens.
     pub fn platform_addr(&self) -> std::net::SocketAddr {
         self.net.platform()
     }
 
-    /// The witness of all runs.
+    /// Returns the witness to which all upstreams report their runs.
     pub fn witness(&self) -> &Witness {
         &self.witness
     }
 
-    /// The options it was started with.
+    /// Returns the options that the fleet was started with.
     pub fn options(&self) -> &Options {
         &self.options
     }
 
-    /// What `sycamoreshift trace` tells of the request called `id` from the logs of all nodes.
+    /// Returns the output of `sycamoreshift trace` for the request `id` over the logs of all nodes.
     ///
     /// # Errors
-    /// Where the program can't be run or finds no line.
+    /// [`BenchError::Option`] or [`BenchError::Io`] if the program is not built or can't be run,
+    /// [`BenchError::Unmet`] with its error output if it fails, for instance because no line names the
+    /// request.
     pub fn trace(&self, id: &str) -> Result<String> {
         let logs = self.names().into_iter().map(|name| self.dir.join(format!("{name}.node.log")));
-        let traced = std::process::Command::new(beside("sycamoreshift")?)
+        let output = std::process::Command::new(executable("sycamoreshift")?)
             .args(["trace", id])
             .args(logs)
             .output()
             .change_context_lazy(|| BenchError::Io("run sycamoreshift".into()))?;
-        match traced.status.success() {
-            true => Ok(String::from_utf8_lossy(&traced.stdout).into_owned()),
+        match output.status.success() {
+            true => Ok(String::from_utf8_lossy(&output.stdout).into_owned()),
             false => {
-                let said = String::from_utf8_lossy(&traced.stderr).into_owned();
-                Err(Report::new(BenchError::Unmet(format!("trace {id}: {said}"))))
+                let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+                Err(Report::new(BenchError::Unmet(format!("sycamoreshift trace {id}: {stderr}"))))
             }
         }
     }
 
-    /// The folder with settings and logs.
+    /// Returns the directory with the fleet's settings and logs.
     pub fn dir(&self) -> &Path {
         &self.dir
     }
--- a/crates/sycamore-bench/src/fleet/instance.rs
+++ b/crates/sycamore-bench/src/fleet/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: a node and the upstream beside it.
+//! Instance of a fleet: a node and the upstream it serves.
 
 use super::{Addrs, Hop, Process};
 use crate::proxy::{Link, Proxy};
@@ -7,45 +7,46 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What an instance is.
+/// Specification of an instance.
 #[derive(Debug, Clone)]
 pub struct InstanceSpec {
-    /// Its name.
+    /// Name of the instance.
     pub instance: String,
-    /// Its service.
+    /// Service of the instance's upstream.
     pub service: String,
-    /// Its data centre.
+    /// Name of the instance's data centre.
     pub data_centre: String,
-    /// Its region.
+    /// Name of the data centre's region.
     pub region: String,
-    /// Its upstream; addresses and names are filled in when it is started.
+    /// Options of the instance's upstream; [`super::Fleet::add`] sets its addresses, names and seed.
     pub upstream: upstream::Options,
 }
 
-/// The proxy before an instance's processes.
+/// Proxy in front of an instance's processes.
 #[derive(Debug)]
 pub struct Front {
-    /// The proxy; it ends with the instance.
+    /// Running proxy; held so that it ends with the instance.
     pub proxy: Proxy,
-    /// How each way is disturbed.
+    /// Link of each hop, by which the hop is disturbed.
     pub links: BTreeMap<Hop, Arc<Link>>,
 }
 
-/// An instance of a fleet.
+/// Instance of a fleet with its processes.
 #[derive(Debug)]
 pub struct Instance {
-    /// What it is.
+    /// Specification of the instance.
     pub spec: InstanceSpec,
-    /// Where it listens.
+    /// Addresses at which its processes listen.
     pub addrs: Addrs,
-    /// Its node, where one was started.
+    /// Process of its node; `None` before the start and after a kill.
     pub node: Option<Process>,
-    /// Its upstream, where one was started.
+    /// Process of its upstream; `None` before the start, after a kill, and in fleets with
+    /// [`super::Upstreams::Announced`].
     pub upstream: Option<Process>,
-    /// The upstream is started again when it crashes.
+    /// Whether [`super::Fleet::tend`] restarts the upstream when it crashes.
     pub respawn: bool,
-    /// Civil time of the node runs ahead by so much from its next start.
+    /// Lead of the node's wall clock, from its next start on.
     pub clock_ahead: Duration,
-    /// The proxy before its processes, where there is one.
+    /// Proxy in front of its processes; `None` without [`super::Options::disturbed`].
     pub front: Option<Front>,
 }
--- a/crates/sycamore-bench/src/fleet/mod.rs
+++ b/crates/sycamore-bench/src/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! A fleet of real processes on loopback: platform, nodes and upstreams, with faults on command.
+//! Fleet of real processes on loopback (platform, nodes and upstreams) with fault injection.
 //!
-//! Every node has a loopback address of its own and the ports of [`net`], so that fleets beside
-//! each other never meet. Where a fleet is disturbed, a proxy stands before every process: it cuts
-//! a node off from all others one way or both, not two nodes from each other.
+//! Every instance has its own loopback address and uses the ports of [`net`], so that fleets which
+//! run at the same time don't conflict. With [`Options::disturbed`] a proxy stands in front of every
+//! process. It can cut a node off from all others, in one direction or both, but not two nodes from
+//! each other only.
 
 pub mod deployment;
 mod faults;
@@ -32,18 +33,19 @@
 
 use std::time::Duration;
 
-/// Time for which a fleet's nodes remember idempotency keys. For as long after the start of a whole
-/// service, and for `[calls] view_lag` more, its nodes can't know of earlier runs and answer keyed
-/// calls as perhaps run.
+/// Time for which a fleet's nodes remember idempotency keys (`[calls] key_memory`). For this time
+/// plus `[calls] view_lag` after the start of all nodes of a service, its nodes can't know about
+/// earlier runs and answer calls with a key as unknown.
 pub const KEY_MEMORY: Duration = Duration::from_secs(3);
 
-/// `[calls] view_lag` of fleets that have no frozen node and meet on loopback.
+/// Value of `[calls] view_lag` for fleets without paused nodes: shorter than the default, because
+/// messages over loopback arrive fast.
 pub const SHORT_VIEW_LAG: Duration = Duration::from_secs(1);
 
-/// The setting of [`SHORT_VIEW_LAG`], for [`Options::settings`].
+/// Returns [`SHORT_VIEW_LAG`] as an entry of [`Options::settings`].
 pub fn short_view_lag() -> (String, String, String) {
     ("calls".into(), "view_lag".into(), format!("{}ms", SHORT_VIEW_LAG.as_millis()))
 }
 
-/// The operators' token of every node.
+/// Token of the operators' interface of every node (`[operator] token`).
 pub const TOKEN: &str = "bench-operator-token";
--- a/crates/sycamore-bench/src/fleet/net.rs
+++ b/crates/sycamore-bench/src/fleet/net.rs
@@ -1,4 +1,4 @@
-//! Loopback addresses.
+//! Loopback addresses and ports of a fleet.
 
 use rand::Rng;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -12,75 +12,75 @@
 const PLATFORM_PORT: u16 = 7390;
 const WITNESS_PORT: u16 = 7391;
 
-/// Added to a port for the proxy that stands before it.
-const FRONT: u16 = 100;
+/// Offset from the port of a process to the port of the proxy in front of it.
+const PROXY_PORT_OFFSET: u16 = 100;
 
-/// Hosts in one block of the fleet's addresses.
+/// Number of hosts that share one third byte of their address.
 const HOSTS_PER_BLOCK: usize = 250;
 
-/// The loopback addresses of one fleet.
+/// Range of loopback addresses of a fleet.
 #[derive(Debug, Clone)]
 pub struct Net {
     first: u8,
     block: u8,
 }
 
-/// Where one instance's processes listen.
+/// Addresses at which the processes of an instance listen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addrs {
-    /// The node, for callers.
+    /// Node's listener for callers.
     pub caller: SocketAddr,
-    /// The node, for its upstream.
+    /// Node's listener for its upstream.
     pub upstream: SocketAddr,
-    /// The node, for calls of other nodes.
+    /// Node's listener for calls from other nodes.
     pub relay: SocketAddr,
-    /// The node, for messages of other nodes.
+    /// Node's listener for messages from other nodes, over TCP and UDP.
     pub peer: SocketAddr,
-    /// The node, for operators.
+    /// Node's listener for operators.
     pub operator: SocketAddr,
-    /// The upstream.
+    /// Upstream's listener for its node.
     pub service: SocketAddr,
 }
 
-/// A way to a process that a proxy may disturb.
+/// Kind of network link to a process, which a proxy may disturb.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Hop {
-    /// From callers to the node.
+    /// Calls from callers to the node.
     Caller,
-    /// From other nodes to the node, with calls.
+    /// Calls from other nodes to the node.
     Relay,
-    /// From other nodes to the node, with messages.
+    /// Messages from other nodes to the node.
     Peer,
-    /// From the node to its upstream.
+    /// Calls from the node to its upstream.
     Service,
-    /// From the node to the platform.
+    /// Requests from the node to the platform.
     Platform,
 }
 
 impl Hop {
-    /// Every hop.
+    /// All hops.
     pub const ALL: [Self; 5] =
         [Self::Caller, Self::Relay, Self::Peer, Self::Service, Self::Platform];
 }
 
 impl Net {
-    /// Draws a part of the loopback network that no other fleet is likely to use.
+    /// Draws a random range of the loopback network, which another fleet is unlikely to use.
     pub fn draw() -> Self {
         let mut rng = rand::rng();
         Self { first: rng.random_range(2..=250), block: rng.random_range(0..=240) }
     }
 
-    /// The platform's address.
+    /// Returns the address of the platform's stand-in.
     pub fn platform(&self) -> SocketAddr {
         SocketAddr::new(self.host(0), PLATFORM_PORT)
     }
 
-    /// The witness' address.
+    /// Returns the address of the witness.
     pub fn witness(&self) -> SocketAddr {
         SocketAddr::new(self.host(0), WITNESS_PORT)
     }
 
-    /// The addresses of the instance with this number, from 0.
+    /// Returns the addresses of the instance with this number, counted from 0.
     pub fn instance(&self, number: usize) -> Addrs {
         let host = self.host(number + 1);
         let on = |port| SocketAddr::new(host, port);
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Where a proxy stands in for `hop` of the instance with this number, and for what.
+    /// Returns the address of the proxy for `hop` of the instance with this number, counted from 0, and
+    /// the address that it forwards to.
     pub fn front(&self, number: usize, hop: Hop) -> (SocketAddr, SocketAddr) {
         let addrs = self.instance(number);
         let target = match hop {
@@ -107,9 +108,9 @@
         (self.front_of(SocketAddr::new(addrs.caller.ip(), target.port())), target)
     }
 
-    /// Where a proxy stands in for the listener at `addr`.
+    /// Returns the address of the proxy in front of the listener at `addr`.
     pub fn front_of(&self, addr: SocketAddr) -> SocketAddr {
-        SocketAddr::new(addr.ip(), addr.port() + FRONT)
+        SocketAddr::new(addr.ip(), addr.port() + PROXY_PORT_OFFSET)
     }
 
     fn host(&self, number: usize) -> IpAddr {
--- a/crates/sycamore-bench/src/fleet/options.rs
+++ b/crates/sycamore-bench/src/fleet/options.rs
@@ -1,40 +1,41 @@
-//! Options of a fleet.
+//! Options for starting a fleet.
 
 use super::Deployment;
 use crate::stand_in::upstream;
 use std::time::Duration;
 
-/// How upstreams are emulated.
+/// Way in which a fleet emulates its upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Upstreams {
-    /// Each as a process.
+    /// Each upstream is a process.
     Processes,
-    /// None runs; the harness announces them to their nodes. For control traffic only.
+    /// No upstream runs; [`super::Fleet::tend`] announces them to their nodes. Calls can't be answered,
+    /// so this is for measurements of control traffic only.
     Announced,
 }
 
-/// Options of a fleet.
+/// Options for starting a fleet.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Which services, where and how large.
+    /// Services and locations of the fleet.
     pub deployment: Deployment,
-    /// Seed of the upstreams.
+    /// Seed from which each upstream's own seed is derived.
     pub seed: u64,
-    /// How upstreams are emulated.
+    /// Way in which upstreams are emulated.
     pub upstreams: Upstreams,
-    /// What all upstreams have in common.
+    /// Options of all upstreams; addresses, names, slots and seeds are set for each.
     pub upstream: upstream::Options,
-    /// Settings of every node besides its names and addresses: section, key, value.
+    /// Additional settings of every node as section, key and value; they replace the fleet's own.
     pub settings: Vec<(String, String, String)>,
-    /// The platform's cap on reads a second.
+    /// Platform's limit on reads per second.
     pub reads_per_s: u32,
-    /// The platform's cap on writes a second.
+    /// Platform's limit on writes per second.
     pub writes_per_s: u32,
-    /// Longest wait for the fleet to be ready.
+    /// Longest wait for the fleet to reach an awaited state, such as readiness.
     pub ready_limit: Duration,
-    /// A proxy stands before every process; see [`super::Fleet::link`].
+    /// Whether a proxy stands in front of every process; see [`super::Fleet::link`].
     pub disturbed: bool,
-    /// Settings and logs are kept after the run.
+    /// Whether settings and logs are kept after the run.
     pub keep: bool,
 }
 
--- a/crates/sycamore-bench/src/fleet/process.rs
+++ b/crates/sycamore-bench/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One started process.
+//! Child processes of the harness.
 
 use super::guard;
 use crate::{BenchError, Result};
@@ -10,19 +10,19 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// Time between two looks at whether a process has ended.
-const LOOK: Duration = Duration::from_millis(20);
+/// Time between two checks of whether a process has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a process runs.
+/// Executable with its arguments.
 #[derive(Debug, Clone)]
 pub struct Program {
-    /// The executable.
+    /// Path of the executable.
     pub path: PathBuf,
-    /// Its arguments.
+    /// Command-line arguments.
     pub args: Vec<String>,
 }
 
-/// A started process; killed and waited for when dropped.
+/// Child process; killed and waited for when dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -30,10 +30,10 @@
 }
 
 impl Process {
-    /// Starts `program`; what it writes is appended to the file `log`.
+    /// Starts `program` and appends its output to the file `log`.
     ///
     /// # Errors
-    /// [`BenchError::Io`] where it can't be started.
+    /// [`BenchError::Io`] if `log` can't be opened or `program` can't be started.
     pub fn start(program: &Program, log: &Path) -> Result<Self> {
         let context = || BenchError::Io(format!("start {}", program.path.display()));
         let out = open_log(log).change_context_lazy(context)?;
@@ -49,24 +49,26 @@
         Ok(Self { child, ended: false })
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn pid(&self) -> i32 {
         pid_of(&self.child)
     }
 
-    /// Sends `signal`.
+    /// Sends `signal` to the process.
     ///
     /// # Errors
-    /// [`BenchError::Io`] where the process is gone.
+    /// [`BenchError::Io`] if the process has ended.
     pub fn signal(&self, signal: Signal) -> Result<()> {
         if self.ended {
-            return Err(Report::new(BenchError::Io("signal to an ended process".into())));
+            let what = format!("send {signal} to process {}, which has ended", self.pid());
+            return Err(Report::new(BenchError::Io(what)));
         }
-        kill(Pid::from_raw(self.pid()), signal)
-            .change_context_lazy(|| BenchError::Io(format!("{signal} to {}", self.pid())))
+        kill(Pid::from_raw(self.pid()), signal).change_context_lazy(|| {
+            BenchError::Io(format!("send {signal} to process {}", self.pid()))
+        })
     }
 
-    /// Its exit status, where it has ended.
+    /// Returns the exit status, or `None` while the process runs.
     pub fn status(&mut self) -> Option<ExitStatus> {
         let status = self.child.try_wait().ok().flatten();
         if status.is_some() && !self.ended {
@@ -76,10 +78,10 @@
         status
     }
 
-    /// Waits at most `limit` for it to end by itself.
+    /// Waits at most `limit` for the process to exit.
     ///
     /// # Errors
-    /// [`BenchError::NotReady`] where it still runs then.
+    /// [`BenchError::NotReady`] if the process still runs after `limit`.
     pub async fn wait(&mut self, limit: Duration) -> Result<ExitStatus> {
         let end = Instant::now() + limit;
         loop {
@@ -87,14 +89,14 @@
                 return Ok(status);
             }
             if Instant::now() >= end {
-                let what = format!("process {} runs after {limit:?}", self.pid());
+                let what = format!("process {} has not exited after {limit:?}", self.pid());
                 return Err(Report::new(BenchError::NotReady(what)));
             }
-            monoio::time::sleep(LOOK).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Kills it at once and waits for its end.
+    /// Kills the process with SIGKILL, if it still runs, and waits for its end.
     pub fn kill(&mut self) {
         if self.status().is_none() {
             guard::remove(self.pid());
--- a/crates/sycamore-bench/src/fleet/query.rs
+++ b/crates/sycamore-bench/src/fleet/query.rs
@@ -1,4 +1,4 @@
-//! What operators' interface and metrics tell about a fleet.
+//! Requests to the operators' interfaces of a fleet's nodes and to the platform's stand-in.
 
 use super::{Fleet, TOKEN};
 use crate::http::{request, Exchange};
@@ -13,15 +13,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time that an operator's request may take.
+/// Longest time for a request and its answer.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Samples of a metrics page: name with labels, and value.
+/// Samples of a metrics page: values keyed by the metric's name with its labels.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Metrics(pub HashMap<String, f64>);
 
 impl Metrics {
-    /// Reads a page in the text format.
+    /// Parses a page in the Prometheus text format; lines that are no sample are skipped.
     pub fn parse(page: &str) -> Self {
         let samples = page.lines().filter(|line| !line.starts_with('#')).filter_map(|line| {
             let (name, value) = line.rsplit_once(' ')?;
@@ -30,7 +30,7 @@
         Self(samples.collect())
     }
 
-    /// The sum of all samples called `name`, whatever their labels.
+    /// Returns the sum of all samples of the metric `name`, over all labels.
     pub fn sum(&self, name: &str) -> f64 {
         let is_named = |sample: &str| {
             sample.strip_prefix(name).is_some_and(|rest| rest.is_empty() || rest.starts_with('{'))
@@ -39,10 +39,10 @@
     }
 }
 
-/// Sends one request with the operators' token.
+/// Sends a request with the operators' token to `addr`.
 ///
 /// # Errors
-/// [`BenchError::Http`] where no answer came.
+/// [`BenchError::Http`] if no whole answer arrives within five seconds.
 pub async fn operator(
     addr: SocketAddr,
     method: Method,
@@ -60,70 +60,75 @@
 }
 
 impl Fleet {
-    /// The operators' listener of `instance`.
+    /// Returns the address of the operators' interface of `instance`.
     ///
     /// # Errors
-    /// [`BenchError::Option`] where there is no such instance.
+    /// [`BenchError::Option`] if there is no such instance.
     pub fn operator_addr(&self, instance: &str) -> Result<SocketAddr> {
         self.addrs(instance).map(|addrs| addrs.operator)
     }
 
-    /// Runs the command `name` at `instance`.
+    /// Sends the operators' command `name` to the node of `instance` and returns its answer.
     ///
     /// # Errors
-    /// [`BenchError::Http`] where no answer came or it is no success.
+    /// [`BenchError::Http`] if no answer arrives or its status is no success, [`BenchError::Option`] if
+    /// there is no such instance.
     pub async fn command(&self, instance: &str, name: &str, body: &Value) -> Result<Value> {
         let path = format!("/v1/commands/{name}");
         let addr = self.operator_addr(instance)?;
         success(operator(addr, Method::POST, &path, body.to_string()).await?)
     }
 
-    /// Asks `instance` the query `name`, with parameters as in `report?plan=P`.
+    /// Sends the operators' query `name`, with parameters as in `report?plan=P`, to the node of
+    /// `instance` and returns its answer.
     ///
     /// # Errors
-    /// [`BenchError::Http`] where no answer came or it is no success.
+    /// [`BenchError::Http`] if no answer arrives or its status is no success, [`BenchError::Option`] if
+    /// there is no such instance.
     pub async fn query(&self, instance: &str, name: &str) -> Result<Value> {
         let path = format!("/v1/queries/{name}");
         let addr = self.operator_addr(instance)?;
         success(operator(addr, Method::GET, &path, "").await?)
     }
 
-    /// The metrics of `instance`.
+    /// Reads the metrics of the node of `instance`.
     ///
     /// # Errors
-    /// [`BenchError::Http`] where no answer came.
+    /// [`BenchError::Http`] if no answer arrives, [`BenchError::Option`] if there is no such instance.
     pub async fn metrics(&self, instance: &str) -> Result<Metrics> {
         let addr = self.operator_addr(instance)?;
         let page = operator(addr, Method::GET, "/metrics", "").await?;
         Ok(Metrics::parse(&String::from_utf8_lossy(&page.body)))
     }
 
-    /// Whether `instance` says that it is ready.
+    /// Returns whether the node of `instance` answers that it is ready.
     pub async fn is_ready(&self, instance: &str) -> bool {
         let Ok(addr) = self.operator_addr(instance) else { return false };
         let answer = operator(addr, Method::GET, "/ready", "").await;
         answer.is_ok_and(|answer| answer.status == StatusCode::OK)
     }
 
-    /// Commands the platform's stand-in.
+    /// Sends `control` to the platform's stand-in and returns its counters.
     ///
     /// # Errors
-    /// [`BenchError::Http`] where no answer came.
+    /// [`BenchError::Http`] if no answer arrives or it can't be parsed.
     pub async fn control_platform(&self, control: &Control) -> Result<Stats> {
         let body = serde_json::to_vec(control)
-            .change_context_lazy(|| BenchError::Option("control".into()))?;
+            .change_context_lazy(|| BenchError::Option(format!("serialize {control:?}")))?;
         operator(self.platform_addr(), Method::POST, "/control", body).await?.json()
     }
 
-    /// The counts of the platform's stand-in.
+    /// Reads the counters of the platform's stand-in.
     ///
     /// # Errors
-    /// [`BenchError::Http`] where no answer came.
+    /// [`BenchError::Http`] if no answer arrives or it can't be parsed.
     pub async fn platform_stats(&self) -> Result<Stats> {
         operator(self.platform_addr(), Method::GET, "/control/stats", "").await?.json()
     }
 }
 
+/// Returns the JSON body of an answer with a success status; other answers become errors with their
+/// status and body.
 fn success(answer: Exchange) -> Result<Value> {
     if answer.status.is_success() {
         return answer.json();
--- a/crates/sycamore-bench/src/fleet/settings.rs
+++ b/crates/sycamore-bench/src/fleet/settings.rs
@@ -1,10 +1,11 @@
-//! Settings files of nodes.
+//! Generates the settings files of nodes.
 
 use super::{Addrs, InstanceSpec, KEY_MEMORY, TOKEN};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The settings of a node, as INI.
+/// Returns the text of a node's settings file in INI format; `extra` entries (section, key and value)
+/// replace generated ones.
 pub fn ini(
     deployment: &str,
     spec: &InstanceSpec,
@@ -30,7 +31,7 @@
     set("platform", "objects", platform.to_string());
     set("operator", "token", TOKEN.to_owned());
     set("calls", "key_memory", format!("{}ms", KEY_MEMORY.as_millis()));
-    // One load generator stands for many callers.
+    // All callers of the load generator share one address.
     set("calls", "connections_per_address", "4096".to_owned());
     for (section, key, value) in extra {
         set(section, key, value.clone());
--- a/crates/sycamore-bench/src/fleet/start.rs
+++ b/crates/sycamore-bench/src/fleet/start.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a fleet.
+//! Starts and stops the processes of a fleet.
 
 use super::{
     front, settings, Hop, Instance, InstanceSpec, Net, Options, Process, Program, Upstreams,
@@ -16,12 +16,13 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Time that processes have to end after SIGTERM when a fleet stops.
+/// Longest wait for processes to exit after SIGTERM when a fleet stops.
 const STOP_LIMIT: Duration = Duration::from_secs(10);
 
+/// Number of fleets that this process has started, for the names of their directories.
 static FLEETS: AtomicUsize = AtomicUsize::new(0);
 
-/// A running fleet; all of its processes end when it is dropped.
+/// Running fleet; dropping it kills all of its processes.
 pub struct Fleet {
     pub(super) options: Options,
     pub(super) net: Net,
@@ -35,11 +36,13 @@
 }
 
 impl Fleet {
-    /// Starts platform, nodes and upstreams, and applies a configuration with one route for each
-    /// service; ends when every node is ready and knows every other as serving.
+    /// Starts platform, nodes and upstreams, applies a configuration with one route for each service,
+    /// and waits until every node is ready and sees every other node as serving.
     ///
     /// # Errors
-    /// Where a process can't be started or the fleet is not ready in time.
+    /// [`BenchError::Io`] or [`BenchError::Option`] if a process can't be started,
+    /// [`BenchError::NotReady`] if the fleet isn't ready within [`Options::ready_limit`], or the error
+    /// of the last attempt to apply the configuration.
     pub async fn start(options: Options) -> Result<Self> {
         let fleet = Self::prepare(options).await?;
         let specs = fleet.specs();
@@ -58,10 +61,11 @@
         Ok(fleet)
     }
 
-    /// Starts the platform alone.
+    /// Starts the platform and the witness of a fleet, without any instance.
     ///
     /// # Errors
-    /// Where it can't be started.
+    /// [`BenchError::Io`] or [`BenchError::Option`] if the platform or the witness can't be started,
+    /// [`BenchError::NotReady`] if the platform doesn't answer within [`Options::ready_limit`].
     pub async fn prepare(options: Options) -> Result<Self> {
         let net = Net::draw();
         let number = FLEETS.fetch_add(1, Ordering::Relaxed);
@@ -69,11 +73,12 @@
             .join(format!("sycamoreshift-bench-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&dir)
             .change_context_lazy(|| BenchError::Io(format!("create {}", dir.display())))?;
-        let tool = beside("sycamoreshift-bench")?;
-        let platform = Process::start(&platform(&tool, &net, &options), &dir.join("platform.log"))?;
+        let tool = executable("sycamoreshift-bench")?;
+        let program = platform_program(&tool, &net, &options);
+        let platform = Process::start(&program, &dir.join("platform.log"))?;
         let fleet = Self {
             witness: Witness::start(net.witness())?,
-            daemon: beside("sycamoreshiftd")?,
+            daemon: executable("sycamoreshiftd")?,
             tool,
             net,
             dir,
@@ -83,12 +88,14 @@
             started: std::cell::Cell::new(0),
         };
         fleet
-            .wait_for("platform", || async { fleet.platform_stats().await.is_ok() })
+            .wait_for("an answer of the platform", || async {
+                fleet.platform_stats().await.is_ok()
+            })
             .await
             .map(|()| fleet)
     }
 
-    /// The instances that the deployment starts with.
+    /// Returns the specifications of all instances of the deployment, at the fleet's first version.
     fn specs(&self) -> Vec<InstanceSpec> {
         let deployment = &self.options.deployment;
         let services = deployment
@@ -98,7 +105,8 @@
         services.map(|(service, i)| self.spec(service, i, &self.options.upstream.version)).collect()
     }
 
-    /// The instance number `i`, from 0, of `version` of `service`.
+    /// Returns the specification of the instance number `i`, counted from 0, of `service` with
+    /// `version`; its name has a suffix if `version` isn't the fleet's first version.
     pub fn spec(&self, service: &str, i: usize, version: &str) -> InstanceSpec {
         let deployment = &self.options.deployment;
         let centres = deployment.centres();
@@ -120,10 +128,11 @@
         }
     }
 
-    /// Starts the node and the upstream of a new instance.
+    /// Adds a new instance to the fleet and starts its node and its upstream.
     ///
     /// # Errors
-    /// Where they can't be started.
+    /// [`BenchError::Io`] if its settings can't be written, or its proxy, node or upstream can't be
+    /// started.
     pub fn add(&self, spec: InstanceSpec) -> Result<()> {
         let number = self.started.get();
         self.started.set(number + 1);
@@ -172,14 +181,15 @@
         self.start_upstream(&name)
     }
 
-    /// Starts the node of `instance`, again where it ran before.
+    /// Starts the node of `instance`; one that runs is killed first.
     ///
     /// # Errors
-    /// Where it can't be started.
+    /// [`BenchError::Io`] if the process can't be started, [`BenchError::Option`] if there is no such
+    /// instance.
     pub fn start_node(&self, instance: &str) -> Result<()> {
         let file = self.dir.join(format!("{instance}.ini"));
         let log = self.log(instance, "node");
-        self.with(instance, |entry| {
+        self.with_instance(instance, |entry| {
             entry.node = None;
             let ahead = entry.clock_ahead.as_millis().to_string();
             let args =
@@ -190,16 +200,18 @@
         })
     }
 
-    /// Starts the upstream of `instance`, again where it ran before.
+    /// Starts the upstream of `instance`; one that runs is killed first. Does nothing in fleets with
+    /// [`Upstreams::Announced`].
     ///
     /// # Errors
-    /// Where it can't be started.
+    /// [`BenchError::Io`] if the process can't be started, [`BenchError::Option`] if there is no such
+    /// instance.
     pub fn start_upstream(&self, instance: &str) -> Result<()> {
         if self.options.upstreams == Upstreams::Announced {
             return Ok(());
         }
         let log = self.log(instance, "upstream");
-        self.with(instance, |entry| {
+        self.with_instance(instance, |entry| {
             entry.upstream = None;
             let args = entry.spec.upstream.to_args();
             let program = Program { path: self.tool.clone(), args };
@@ -208,13 +220,14 @@
         })
     }
 
-    /// Like [`Fleet::stop`]; settings and logs stay.
+    /// Stops the fleet like [`Fleet::stop`], but keeps its settings and logs.
     pub async fn stop_and_keep(mut self) {
         self.options.keep = true;
         self.stop().await;
     }
 
-    /// Ends all processes by SIGTERM, and those that do not end in time by SIGKILL.
+    /// Stops all nodes and upstreams with SIGTERM, also paused ones, and kills those that don't exit
+    /// within ten seconds; the platform is killed.
     pub async fn stop(self) {
         let mut processes: Vec<Process> = Vec::new();
         for entry in self.instances.borrow_mut().values_mut() {
@@ -235,15 +248,15 @@
         self.dir.join(format!("{instance}.{part}.log"))
     }
 
-    /// Does `f` with the instance `name`.
-    pub(super) fn with<T>(
+    /// Calls `f` with the instance `name`, or returns [`BenchError::Option`] if there is none.
+    pub(super) fn with_instance<T>(
         &self,
         name: &str,
         f: impl FnOnce(&mut Instance) -> Result<T>,
     ) -> Result<T> {
         match self.instances.borrow_mut().get_mut(name) {
             Some(entry) => f(entry),
-            None => Err(Report::new(BenchError::Option(format!("no instance {name}")))),
+            None => Err(Report::new(BenchError::Option(format!("no instance is named {name:?}")))),
         }
     }
 }
@@ -257,7 +270,7 @@
     }
 }
 
-fn platform(tool: &Path, net: &Net, options: &Options) -> Program {
+fn platform_program(tool: &Path, net: &Net, options: &Options) -> Program {
     let args = ["stand-in", "platform", "--listen"].map(String::from);
     let mut args = args.to_vec();
     args.push(net.platform().to_string());
@@ -266,16 +279,17 @@
     Program { path: tool.to_owned(), args }
 }
 
-/// The executable `name` beside the running one, or a folder above it for a test's executable.
+/// Returns the path of the executable `name` in the directory of the running executable or, for a
+/// test's executable, in the directory above.
 ///
 /// # Errors
-/// [`BenchError::Option`] where it is not there: it was not built.
-pub(super) fn beside(name: &str) -> Result<PathBuf> {
+/// [`BenchError::Option`] if there is no such file, because it was not built.
+pub(super) fn executable(name: &str) -> Result<PathBuf> {
     let own = std::env::current_exe()
         .change_context_lazy(|| BenchError::Io("path of the running executable".into()))?;
     let found = own.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|p| p.is_file());
     found.ok_or_else(|| {
-        let what = format!("{name} is not beside {}; build the workspace first", own.display());
+        let what = format!("{name} is not next to {}; build the workspace first", own.display());
         Report::new(BenchError::Option(what))
     })
 }
--- a/crates/sycamore-bench/src/fleet/wait.rs
+++ b/crates/sycamore-bench/src/fleet/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for a fleet, and caring for it beside the load.
+//! Waits for states of a fleet, and restarts or announces its upstreams during a run.
 
 use super::query::operator;
 use super::{Fleet, Upstreams};
@@ -9,17 +9,21 @@
 use std::future::Future;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at a condition that is waited for.
-const LOOK: Duration = Duration::from_millis(50);
+/// Time between two checks of an awaited condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two looks for crashed upstreams.
-const TEND: Duration = Duration::from_millis(200);
+/// Time between two checks for crashed upstreams.
+const TEND_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Pause after a round of announcements for upstreams that don't run.
+const ANNOUNCE_PAUSE: Duration = Duration::from_millis(800);
 
 impl Fleet {
-    /// Applies `resources` as the next configuration; gives its version.
+    /// Applies `resources` as the next configuration, at the first node that accepts it, and returns its
+    /// version.
     ///
     /// # Errors
-    /// Where no node takes it in time.
+    /// The last node's error if no node accepts it within [`super::Options::ready_limit`].
     pub async fn apply_resources(
         &self,
         operator: &str,
@@ -39,26 +43,28 @@
             }
             match last {
                 Some(report) if Instant::now() >= end => return Err(report),
-                _ => monoio::time::sleep(LOOK).await,
+                _ => monoio::time::sleep(POLL_INTERVAL).await,
             }
         }
     }
 
-    /// Waits until every running node says that it is ready.
+    /// Waits until every running node answers that it is ready.
     ///
     /// # Errors
-    /// [`BenchError::NotReady`] with the first that is not.
+    /// [`BenchError::NotReady`] with the first node that isn't ready within
+    /// [`super::Options::ready_limit`].
     pub async fn wait_ready(&self) -> Result<()> {
         for instance in self.running() {
-            self.wait_for(&format!("node of {instance}"), || self.is_ready(&instance)).await?;
+            let what = format!("readiness of the node of {instance}");
+            self.wait_for(&what, || self.is_ready(&instance)).await?;
         }
         Ok(())
     }
 
-    /// Waits until every running node knows every other as serving.
+    /// Waits until every running node sees every other as serving.
     ///
     /// # Errors
-    /// [`BenchError::NotReady`] where one does not in time.
+    /// [`BenchError::NotReady`] if a node doesn't within [`super::Options::ready_limit`].
     pub async fn wait_members(&self) -> Result<()> {
         let names = self.running();
         let complete = || async {
@@ -66,13 +72,13 @@
             let answers = futures::future::join_all(queries).await;
             answers.iter().all(|answer| answer.as_ref().is_ok_and(|n| serving(n) >= names.len()))
         };
-        self.wait_for("every node knows every other as serving", complete).await
+        self.wait_for("every node sees every other as serving", complete).await
     }
 
-    /// Waits, as long as a fleet may take to get ready, until `condition` holds.
+    /// Waits until `condition` holds, for at most [`super::Options::ready_limit`].
     ///
     /// # Errors
-    /// [`BenchError::NotReady`] with `what`.
+    /// [`BenchError::NotReady`] with `what`, which names the condition.
     pub async fn wait_for<F: Future<Output = bool>>(
         &self,
         what: &str,
@@ -82,20 +88,21 @@
         let end = Instant::now() + limit;
         while !condition().await {
             if Instant::now() >= end {
-                let what = format!("{what}, after {limit:?}; logs in {}", self.dir.display());
+                let dir = self.dir.display();
+                let what = format!("waited {limit:?} for: {what}; logs in {dir}");
                 return Err(Report::new(BenchError::NotReady(what)));
             }
-            monoio::time::sleep(LOOK).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Starts crashed upstreams again, and announces those that are only announced, until the
-    /// future is dropped. To be run beside the load.
+    /// Restarts crashed upstreams, and announces the upstreams of fleets with [`Upstreams::Announced`],
+    /// until the future is dropped. It must run concurrently with every load and wait.
     pub async fn tend(&self) {
         loop {
             for instance in self.names() {
-                let crashed = self.with(&instance, |entry| {
+                let crashed = self.with_instance(&instance, |entry| {
                     let ended = entry.upstream.as_mut().is_some_and(|u| u.status().is_some());
                     Ok(ended && entry.respawn)
                 });
@@ -106,7 +113,7 @@
             if self.options.upstreams == Upstreams::Announced {
                 self.announce_all().await;
             }
-            monoio::time::sleep(TEND).await;
+            monoio::time::sleep(TEND_INTERVAL).await;
         }
     }
 
@@ -127,10 +134,11 @@
             })
             .collect::<Vec<_>>();
         futures::future::join_all(posts).await;
-        monoio::time::sleep(Duration::from_millis(800)).await;
+        monoio::time::sleep(ANNOUNCE_PAUSE).await;
     }
 }
 
+/// Counts the serving members in an answer to the query `nodes`.
 fn serving(nodes: &serde_json::Value) -> usize {
     let members = nodes["members"].as_array();
     members.map_or(0, |members| members.iter().filter(|m| m["state"] == "serving").count())
--- a/crates/sycamore-bench/src/fleet/watch.rs
+++ b/crates/sycamore-bench/src/fleet/watch.rs
@@ -1,4 +1,4 @@
-//! Watches the configurations in force on a fleet's nodes.
+//! Checks the configurations that a fleet's nodes use.
 
 use super::Fleet;
 use crate::measure::Violations;
@@ -7,26 +7,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time between two looks at all nodes.
+/// Time between two queries of all nodes.
 const INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Default)]
 struct Seen {
     /// Highest version seen on each instance.
     versions: BTreeMap<String, u64>,
-    /// Manifest of each version.
+    /// Manifest first seen with each version.
     manifests: BTreeMap<u64, String>,
     violations: Violations,
 }
 
-/// Looks at the configuration of every node again and again.
+/// Checker that queries the configuration of every running node periodically and counts violations.
 #[derive(Debug, Default)]
 pub struct ConfigWatch {
     seen: RefCell<Seen>,
 }
 
 impl ConfigWatch {
-    /// Watches `fleet` until the future is dropped.
+    /// Queries all nodes of `fleet` periodically until the future is dropped.
     pub async fn run(&self, fleet: &Fleet) {
         loop {
             self.look(fleet).await;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Looks once. Nodes that do not answer or have no configuration yet are passed over.
+    /// Queries all running nodes once; skips nodes that don't answer or have no configuration yet.
     pub async fn look(&self, fleet: &Fleet) {
         let names = fleet.running();
         let queries = names.iter().map(|name| fleet.query(name, "config"));
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Whether all running nodes of `fleet` were last seen with `version` or a higher one.
+    /// Returns whether every running node of `fleet` has been seen with `version` or a higher one.
     pub fn all_at(&self, fleet: &Fleet, version: u64) -> bool {
         let seen = self.seen.borrow();
         fleet.running().iter().all(|name| seen.versions.get(name).is_some_and(|v| *v >= version))
     }
 
-    /// What was broken so far.
+    /// Returns the number of violations of each kind seen so far.
     pub fn violations(&self) -> Violations {
         self.seen.borrow().violations
     }
@@ -72,12 +72,12 @@
         let manifest = config["manifest"].as_str().unwrap_or_default().to_owned();
         let first = self.manifests.entry(version).or_insert_with(|| manifest.clone());
         self.violations.partial_apply += usize::from(*first != manifest);
-        self.violations.dangling_route += dangling(config);
+        self.violations.dangling_route += count_dangling_routes(config);
     }
 }
 
-/// Routes whose service is not among the resources.
-fn dangling(config: &Value) -> usize {
+/// Counts the routes of a configuration whose service is not among its resources.
+fn count_dangling_routes(config: &Value) -> usize {
     let none = Vec::new();
     let resources = config["resources"].as_array().unwrap_or(&none);
     let of_kind = |kind: &'static str| resources.iter().filter(move |r| r["kind"] == kind);
