--- a/crates/sycamore-bench/src/load/answer.rs
+++ b/crates/sycamore-bench/src/load/answer.rs
@@ -1,4 +1,4 @@
-//! What became of a call.
+//! Classifies the answers to calls.
 
 use crate::http::{Exchange, Wire};
 use crate::stand_in::upstream::{checksum, headers};
@@ -6,68 +6,70 @@
 use std::time::Duration;
 use sycamore_types::headers as shift;
 
-/// How a call ended for its caller.
+/// Outcome of a call as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Ended {
-    /// Its own answer came whole.
+    /// The complete answer to this call arrived.
     Ok,
-    /// It was refused as not run.
+    /// The answer says that the call did not run.
     Refused,
-    /// It was answered as perhaps run.
+    /// The answer says that the call may have run.
     Unknown,
-    /// The upstream answered with a failure.
+    /// The upstream answered with an error status.
     Failed,
-    /// No connection could be made.
+    /// No connection could be opened.
     NotConnected,
-    /// The connection broke before the answer.
+    /// The connection broke before the head of an answer.
     NoAnswer,
-    /// The answer broke off, visibly.
+    /// The connection broke within the answer's body, so that the caller notices.
     Cut,
-    /// No answer by the caller's own limit.
+    /// No answer arrived within the caller's own time limit.
     TimedOut,
-    /// A whole answer that is another call's.
+    /// A complete answer arrived with another call's token, or a success without any token.
     Wrong,
-    /// An answer that passes for whole and is not.
+    /// An answer arrived that is complete by HTTP, but whose body, or the request's body at the
+    /// upstream, doesn't match its checksum.
     Short,
 }
 
-/// One call as its caller saw it.
+/// Ended call as its caller saw it.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// The call's token.
+    /// Token that identifies the call.
     pub token: String,
-    /// Index of its kind.
+    /// Index of the call's kind in [`super::Options::kinds`].
     pub kind: usize,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub idempotent: bool,
-    /// Times that callers send the call, of which this is one.
+    /// Number of records that share this token: 2 if the call is sent a second time with the same
+    /// idempotency key, else 1.
     pub sendings: usize,
-    /// Address of the last attempt; `None` where there was none to try.
+    /// Address of the last attempt; `None` if no target matched the call's path.
     pub addr: Option<std::net::SocketAddr>,
-    /// It was sent when, in microseconds since the Unix epoch.
+    /// Time of the first attempt, in microseconds since the Unix epoch.
     pub sent_us: u64,
-    /// Time to the last byte of the answer.
+    /// Time from the first attempt to the last byte of the answer, or to the failure.
     pub latency: Duration,
-    /// How it ended.
+    /// Outcome of the last attempt.
     pub ended: Ended,
-    /// The answer's status.
+    /// Status of the answer; `None` without a complete answer.
     pub status: Option<StatusCode>,
-    /// The reason given with a refusal.
+    /// Reason given with a refusal or an unknown outcome.
     pub reason: Option<String>,
-    /// Seconds after which a refusal says to come back.
+    /// Value of the answer's `retry-after` header, in seconds.
     pub retry_after: Option<u32>,
-    /// The instance that ran it.
+    /// Name of the instance that ran the call, as the answer says.
     pub instance: Option<String>,
-    /// The version that ran it.
+    /// Version of the upstream that ran the call, as the answer says.
     pub version: Option<String>,
-    /// The start of the body of an answer that is no success.
+    /// Start of the answer's body; empty if the call ended well or without an answer.
     pub detail: String,
-    /// Times it was sent by the caller.
+    /// Number of attempts that the caller made.
     pub attempts: u32,
 }
 
-/// How the call `token` ended that sent a body with the checksum `sent_sum`.
-pub fn judge(token: &str, sent_sum: &str, result: &Result<Exchange, Wire>) -> Ended {
+/// Returns the outcome of an attempt of the call `token`, whose body had the checksum `sent_sum`.
+pub fn classify(token: &str, sent_sum: &str, result: &Result<Exchange, Wire>) -> Ended {
     let exchange = match result {
         Ok(exchange) => exchange,
         Err(Wire::NotConnected) => return Ended::NotConnected,
--- a/crates/sycamore-bench/src/load/call.rs
+++ b/crates/sycamore-bench/src/load/call.rs
@@ -1,6 +1,6 @@
-//! One call.
+//! Sends calls and records their outcomes.
 
-use super::answer::{judge, Ended, Record};
+use super::answer::{classify, Ended, Record};
 use super::{CallKind, KeyUse};
 use crate::http::{Client, Exchange};
 use crate::stand_in::upstream::{checksum, fill, headers};
@@ -12,35 +12,35 @@
 use std::time::{Duration, Instant};
 use sycamore_types::headers as shift;
 
-/// Bytes of an answer's body that are kept of a failure.
+/// Number of bytes of a failed call's answer that [`Record::detail`] keeps.
 const DETAIL_BYTES: usize = 160;
 
-/// Sends calls and judges their answers.
+/// Client that sends calls and classifies their answers.
 #[derive(Default)]
 pub struct Caller {
     client: Client,
 }
 
-/// A call to be sent.
+/// Call to be sent.
 #[derive(Debug, Clone)]
 pub struct Call<'a> {
-    /// Its kind.
+    /// Kind of the call.
     pub kind: &'a CallKind,
-    /// Index of its kind.
+    /// Index of the kind in [`super::Options::kinds`].
     pub index: usize,
-    /// Its token.
+    /// Token that identifies the call; also its request identifier and idempotency key.
     pub token: String,
-    /// The caller's name.
+    /// Name that the caller gives.
     pub caller: String,
-    /// Longest wait for the answer.
+    /// Longest wait for the answer, over all attempts.
     pub limit: Duration,
-    /// Addresses to try, in order: one more for each repeat of a blind retry.
+    /// Addresses to try in order, one for each attempt.
     pub addrs: Vec<SocketAddr>,
 }
 
 impl Caller {
-    /// Sends `call` to its first address, and on to the next where an attempt brought no success;
-    /// a caller that relies on its node gives one address.
+    /// Sends `call` to its addresses in order until an attempt succeeds. A call through nodes has a
+    /// single address, because the node retries.
     pub async fn send(&self, call: &Call<'_>) -> Record {
         let start = Instant::now();
         let sent_us = now_us();
@@ -73,7 +73,7 @@
             Ok(result) => result,
             Err(_) => return (Ended::TimedOut, None),
         };
-        let ended = judge(&call.token, sent_sum, &result);
+        let ended = classify(&call.token, sent_sum, &result);
         (ended, result.ok())
     }
 }
@@ -143,6 +143,7 @@
     }
 }
 
+/// Returns the start of the answer's body if the call didn't end well, else an empty text.
 fn detail(ended: Ended, exchange: Option<&Exchange>) -> String {
     let body = exchange.filter(|_| ended != Ended::Ok).map(|exchange| &exchange.body);
     let start = body.map(|body| &body[..body.len().min(DETAIL_BYTES)]).unwrap_or_default();
--- a/crates/sycamore-bench/src/load/generate.rs
+++ b/crates/sycamore-bench/src/load/generate.rs
@@ -1,4 +1,4 @@
-//! The generator.
+//! Load generator: draws calls from a seed and sends them at their arrival times.
 
 use super::call::{Call, Caller};
 use super::{CallKind, KeyUse, Record, Tally};
@@ -9,43 +9,44 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How a caller chooses among the addresses of a target.
+/// Selection of an address among those of a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Pick {
-    /// At random.
+    /// Uniformly at random.
     #[default]
     Random,
-    /// One after the other.
+    /// In turn.
     RoundRobin,
 }
 
-/// Where calls go whose path starts with a prefix.
+/// Addresses for calls whose path starts with a prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
-    /// The prefix.
+    /// Prefix of the calls' paths.
     pub prefix: String,
-    /// The addresses.
+    /// Addresses to choose from.
     pub addrs: Vec<SocketAddr>,
 }
 
 /// Options of a load.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seed of arrivals, kinds, callers and addresses.
+    /// Seed of arrival times, kinds, callers and addresses.
     pub seed: u64,
-    /// Mean arrivals a second.
+    /// Mean rate of arrivals, in calls per second.
     pub rate: f64,
-    /// Time during which calls arrive.
+    /// Period within which calls arrive.
     pub time: Duration,
-    /// Where calls go: the first target whose prefix fits.
+    /// Targets of calls: the first whose prefix matches a call's path is used.
     pub targets: Vec<Target>,
-    /// How a caller chooses an address.
+    /// Selection of an address among those of the target.
     pub pick: Pick,
-    /// Times that a caller itself sends a call again, blindly; 0 through nodes.
+    /// Number of times that the caller itself retries a failed call, whatever its kind and failure; 0
+    /// for calls through nodes.
     pub retries: u32,
-    /// Kinds of calls.
+    /// Kinds of calls, drawn by their weights.
     pub kinds: Vec<CallKind>,
-    /// Number of callers by name.
+    /// Number of different caller names.
     pub callers: u32,
     /// Longest wait of a caller for an answer.
     pub limit: Duration,
@@ -67,36 +68,36 @@
     }
 }
 
-/// Latest second sending of a call that is sent twice, after the first.
-const REPEAT_WITHIN_MS: u64 = 300;
+/// Longest delay between the two sendings of a call with [`KeyUse::Repeated`], in milliseconds.
+const MAX_REPEAT_DELAY_MS: u64 = 300;
 
-/// Sends calls for the options' time and waits for their answers.
+/// Sends calls for [`Options::time`] and waits for their answers.
 pub async fn run(options: &Options) -> Tally {
     run_until(options, || false).await
 }
 
-/// Sends calls for the options' time, or until `done` holds, and waits for their answers.
+/// Sends calls for [`Options::time`] or until `done` returns true, and waits for their answers.
 pub async fn run_until(options: &Options, done: impl Fn() -> bool) -> Tally {
     run_watched(options, done, |_| {}).await
 }
 
-/// Like [`run_until`]; `seen` is given each call as it ends.
+/// Sends calls like [`run_until`], and passes the record of each call to `seen` when the call ends.
 pub async fn run_watched(
     options: &Options,
     done: impl Fn() -> bool,
     seen: impl Fn(&Record),
 ) -> Tally {
     let caller = Caller::default();
-    let mut draw = Draw::new(options);
+    let mut source = CallSource::new(options);
     let mut calls = FuturesUnordered::new();
     let mut tally = Tally::default();
     let start = Instant::now();
-    let mut next = draw.gap();
+    let mut next = source.gap();
     while next < options.time && !done() {
         let due = start + next;
-        wait_until(due, &mut calls, &mut tally, &seen).await;
+        drive_until(due, &mut calls, &mut tally, &seen).await;
         tally.note_lag(due.elapsed());
-        for (delay, call) in draw.calls() {
+        for (delay, call) in source.calls() {
             let caller = &caller;
             calls.push(async move {
                 if !delay.is_zero() {
@@ -105,7 +106,7 @@
                 caller.send(&call).await
             });
         }
-        next += draw.gap();
+        next += source.gap();
     }
     while let Some(record) = calls.next().await {
         seen(&record);
@@ -115,8 +116,8 @@
     tally
 }
 
-/// Takes in answers until `due`.
-async fn wait_until<F: std::future::Future<Output = Record>>(
+/// Drives `calls` and records those that end until `due`.
+async fn drive_until<F: std::future::Future<Output = Record>>(
     due: Instant,
     calls: &mut FuturesUnordered<F>,
     tally: &mut Tally,
@@ -125,7 +126,7 @@
     loop {
         let left = due.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            // One round of the loop, so that answers are read also when the generator lags.
+            // Polls the calls once, so that answers are read also while the generator is late.
             futures::future::poll_fn(|cx| {
                 while let std::task::Poll::Ready(Some(record)) = calls.poll_next_unpin(cx) {
                     seen(&record);
@@ -145,35 +146,38 @@
     }
 }
 
-/// Everything that is drawn.
-struct Draw<'a> {
+/// Source of random calls.
+struct CallSource<'a> {
     options: &'a Options,
     rng: SmallRng,
+    /// Number of calls drawn so far.
     count: u64,
-    weights: u32,
+    /// Sum of the weights of all kinds.
+    total_weight: u32,
+    /// Position for [`Pick::RoundRobin`].
     turn: Cell<usize>,
 }
 
-impl<'a> Draw<'a> {
+impl<'a> CallSource<'a> {
     fn new(options: &'a Options) -> Self {
-        let weights = options.kinds.iter().map(|kind| kind.weight).sum();
+        let total_weight = options.kinds.iter().map(|kind| kind.weight).sum();
         let rng = SmallRng::seed_from_u64(options.seed);
-        Self { options, rng, count: 0, weights, turn: Cell::new(0) }
+        Self { options, rng, count: 0, total_weight, turn: Cell::new(0) }
     }
 
-    /// Time to the next arrival, exponentially distributed.
+    /// Draws the time to the next arrival from an exponential distribution.
     fn gap(&mut self) -> Duration {
         let unit: f64 = 1.0 - self.rng.random::<f64>();
         Duration::from_secs_f64(-unit.ln() / self.options.rate.max(f64::MIN_POSITIVE))
     }
 
-    /// The next call, with its repeat where it has one, each with its delay.
+    /// Draws the next call and, for [`KeyUse::Repeated`], its second sending, each with its delay.
     fn calls(&mut self) -> Vec<(Duration, Call<'a>)> {
         let call = self.call();
         if call.kind.key != KeyUse::Repeated {
             return vec![(Duration::ZERO, call)];
         }
-        let delay = Duration::from_millis(self.rng.random_range(0..REPEAT_WITHIN_MS));
+        let delay = Duration::from_millis(self.rng.random_range(0..MAX_REPEAT_DELAY_MS));
         let mut repeat = call.clone();
         repeat.addrs = self.addrs(&call.kind.path);
         vec![(Duration::ZERO, call), (delay, repeat)]
@@ -199,8 +203,9 @@
         }
     }
 
+    /// Draws the index of a kind according to the weights.
     fn kind(&mut self) -> usize {
-        let mut ticket = self.rng.random_range(0..self.weights.max(1));
+        let mut ticket = self.rng.random_range(0..self.total_weight.max(1));
         for (index, kind) in self.options.kinds.iter().enumerate() {
             match ticket.checked_sub(kind.weight) {
                 Some(rest) => ticket = rest,
@@ -210,6 +215,7 @@
         0
     }
 
+    /// Draws the addresses of all attempts of a call to `path`; empty if no target matches.
     fn addrs(&mut self, path: &str) -> Vec<SocketAddr> {
         let target = self.options.targets.iter().find(|target| path.starts_with(&target.prefix));
         let Some(target) = target.filter(|target| !target.addrs.is_empty()) else {
@@ -219,6 +225,7 @@
         (0..attempts).map(|_| target.addrs[self.pick(target.addrs.len())]).collect()
     }
 
+    /// Selects an index below `len`.
     fn pick(&mut self, len: usize) -> usize {
         match self.options.pick {
             Pick::Random => self.rng.random_range(0..len),
--- a/crates/sycamore-bench/src/load/kind.rs
+++ b/crates/sycamore-bench/src/load/kind.rs
@@ -1,43 +1,44 @@
-//! Kinds of calls.
+//! Kinds of calls that a load is composed of.
 
 use http::Method;
 
-/// How a kind of call uses idempotency keys.
+/// Use of idempotency keys by a kind of call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum KeyUse {
-    /// Not at all.
+    /// Calls have no key.
     #[default]
     None,
-    /// Each call has one of its own.
+    /// Each call has its own key.
     Once,
-    /// Each call has one of its own and is sent a second time shortly after.
+    /// Each call has its own key and is sent a second time with it shortly afterwards.
     Repeated,
 }
 
-/// A kind of call.
+/// Kind of call, from which a load draws.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallKind {
-    /// How often it is drawn, against the others.
+    /// Relative frequency of the kind.
     pub weight: u32,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path; `{}` becomes the call's token.
+    /// Path; `{}` is replaced by the call's token.
     pub path: String,
-    /// Size of its body in bytes.
+    /// Size of the request's body in bytes.
     pub body: usize,
-    /// Size of its answer's body in bytes, where it asks for one.
+    /// Requested size of the answer's body in bytes; `None` for a short default body.
     pub answer: Option<usize>,
-    /// Work it asks for in microseconds, instead of the upstream's own.
+    /// Requested mean run time in microseconds; `None` for the upstream's own.
     pub work_us: Option<u64>,
-    /// How it uses idempotency keys.
+    /// Use of idempotency keys.
     pub key: KeyUse,
-    /// Paths that the upstream calls onward, one from the other.
+    /// Paths of nested calls: the upstream calls the first path, the upstream there the second, and
+    /// so on.
     pub onward: Vec<String>,
-    /// Its criticality, where it names one.
+    /// Value of the criticality header; `None` sends no such header.
     pub criticality: Option<&'static str>,
-    /// It crashes the upstream that runs it.
+    /// Whether the call crashes the upstream that runs it.
     pub crash: bool,
-    /// Time left for it in milliseconds, where it names one.
+    /// Timeout that the caller sends, in milliseconds; `None` sends none.
     pub timeout_ms: Option<u64>,
 }
 
@@ -60,17 +61,17 @@
 }
 
 impl CallKind {
-    /// Whether it may run more than once.
+    /// Returns whether the method is idempotent, so that a call may run more than once.
     pub fn is_idempotent(&self) -> bool {
         matches!(self.method, Method::GET | Method::HEAD | Method::PUT | Method::DELETE)
     }
 
-    /// A lookup at `service`.
+    /// Returns a status lookup at `service`.
     pub fn lookup(service: &str) -> Self {
         Self { weight: 60, path: format!("/{service}/status/{{}}"), ..Self::default() }
     }
 
-    /// A booking or intake at `service`, without an idempotency key.
+    /// Returns a new entry (a booking or an intake) at `service`, without an idempotency key.
     pub fn booking(service: &str) -> Self {
         Self {
             weight: 15,
@@ -81,19 +82,19 @@
         }
     }
 
-    /// A booking or intake at `service`, with an idempotency key and sent twice.
+    /// Returns a new entry at `service` that is sent twice with the same idempotency key.
     pub fn repeated(service: &str) -> Self {
         Self { weight: 5, key: KeyUse::Repeated, ..Self::booking(service) }
     }
 
-    /// A lookup at `service` that looks up at `other` in turn.
+    /// Returns a status lookup at `service` for which its upstream makes a nested lookup at `other`.
     pub fn chained(service: &str, other: &str) -> Self {
         let onward = vec![format!("/{other}/status/onward")];
         Self { weight: 10, onward, ..Self::lookup(service) }
     }
 }
 
-/// Photos of a few sizes sent to `service` and fetched from it.
+/// Returns uploads of photos of 3 MiB to `service` and downloads of photos of 2 MiB from it.
 pub fn photos(service: &str) -> [CallKind; 2] {
     let up = CallKind {
         weight: 1,
--- a/crates/sycamore-bench/src/load/mod.rs
+++ b/crates/sycamore-bench/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: Poisson arrivals that do not wait for answers, and a check of every answer.
+//! Open-loop load generator: calls arrive as a Poisson process, whether earlier calls were answered or
+//! not, and every answer is checked.
 
 mod answer;
 mod call;
--- a/crates/sycamore-bench/src/load/tally.rs
+++ b/crates/sycamore-bench/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! Counts, latencies and broken promises of a load.
+//! Counts, latencies and violations of a load.
 
 use super::{Ended, Record};
 use crate::measure::Violations;
@@ -8,43 +8,44 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A refusal of a repeat because the first is under way; true although the key ran.
+/// Reason of a refusal of a repeated call while the first call with its key is running: a correct
+/// answer although the key has run.
 const IN_PROGRESS: &str = "in-progress";
 
-/// Latencies, in microseconds with three digits.
+/// Histogram of latencies, with microsecond resolution and three significant digits.
 #[derive(Debug, Clone)]
 pub struct Latencies(Histogram<u64>);
 
 impl Default for Latencies {
     fn default() -> Self {
-        Self(Histogram::new(3).expect("three digits are allowed"))
+        Self(Histogram::new(3).expect("a histogram supports up to five significant digits"))
     }
 }
 
 impl Latencies {
-    /// Adds one.
+    /// Adds one latency.
     pub fn add(&mut self, latency: Duration) {
         let us = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
-        self.0.record(us).expect("a histogram of its own size grows with what it is given");
+        self.0.record(us).expect("an auto-resizing histogram accepts every value");
     }
 
-    /// How many there are.
+    /// Returns the number of latencies.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// The quantile `q`, 0.0 to 1.0, in milliseconds.
+    /// Returns the quantile `q`, from 0.0 to 1.0, in milliseconds.
     pub fn quantile_ms(&self, q: f64) -> f64 {
         self.0.value_at_quantile(q) as f64 / 1_000.0
     }
 
-    /// The greatest, in milliseconds.
+    /// Returns the greatest latency in milliseconds.
     pub fn max_ms(&self) -> f64 {
         self.0.max() as f64 / 1_000.0
     }
 }
 
-/// All that a load brought.
+/// Records and timing of a load.
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
     records: Vec<Record>,
@@ -53,49 +54,49 @@
 }
 
 impl Tally {
-    /// Adds one call.
+    /// Adds the record of an ended call.
     pub fn add(&mut self, record: Record) {
         self.records.push(record);
     }
 
-    /// Notes that the generator was late by `lag`.
+    /// Records that the generator sent a call `lag` after its arrival time.
     pub fn note_lag(&mut self, lag: Duration) {
         self.lag = self.lag.max(lag);
     }
 
-    /// Notes how long the load took, answers included.
+    /// Sets the duration of the load, including the wait for the last answers.
     pub fn took(&mut self, took: Duration) {
         self.took = took;
     }
 
-    /// Takes in the calls of another load.
+    /// Merges the records of a concurrent load; duration and lag become the greater of the two.
     pub fn merge(&mut self, other: Tally) {
         self.records.extend(other.records);
         self.took = self.took.max(other.took);
         self.lag = self.lag.max(other.lag);
     }
 
-    /// Every call.
+    /// Returns the records of all calls, in the order in which they ended.
     pub fn records(&self) -> &[Record] {
         &self.records
     }
 
-    /// Greatest delay of the generator itself.
+    /// Returns the longest time between a call's arrival time and its sending by the generator.
     pub fn lag(&self) -> Duration {
         self.lag
     }
 
-    /// How long the load took, answers included.
+    /// Returns the duration of the load, including the wait for the last answers.
     pub fn time(&self) -> Duration {
         self.took
     }
 
-    /// Calls that ended so.
+    /// Counts the calls with the outcome `ended`.
     pub fn count(&self, ended: Ended) -> usize {
         self.records.iter().filter(|record| record.ended == ended).count()
     }
 
-    /// Latencies of the calls that ended so.
+    /// Returns the latencies of the calls with the outcome `ended`.
     pub fn latencies(&self, ended: Ended) -> Latencies {
         let mut latencies = Latencies::default();
         let such = self.records.iter().filter(|record| record.ended == ended);
@@ -103,7 +104,7 @@
         latencies
     }
 
-    /// Reasons given with the answers that ended so, with their counts.
+    /// Counts the calls with the outcome `ended` by the reason in their answer, `none` if there is none.
     pub fn reasons(&self, ended: Ended) -> BTreeMap<&str, usize> {
         let mut reasons = BTreeMap::new();
         for record in self.records.iter().filter(|record| record.ended == ended) {
@@ -112,15 +113,16 @@
         reasons
     }
 
-    /// The promises that answers and `ledger` together show broken. Runs after a drain and after a
-    /// verdict are the ledger's alone.
+    /// Counts the violations that follow from the answers together with the runs in `ledger`. Runs after
+    /// a drain and after a verdict are not counted here, because `ledger` alone shows them.
     pub fn violations(&self, ledger: &Ledger) -> Violations {
         let runs = ledger.runs();
         let ran = |token: &str| runs.get(token).map_or(0, Vec::len);
         let by_token = self.by_token();
         let twice = by_token.iter().filter(|(_, records)| !records[0].idempotent);
         let twice = twice.filter(|(token, _)| ran(token) > 1).count();
-        let refused = by_token.iter().filter(|(_, records)| records.iter().all(|r| is_denied(r)));
+        let refused =
+            by_token.iter().filter(|(_, records)| records.iter().all(|r| is_refused_as_not_run(r)));
         Violations {
             ran_twice: twice,
             false_not_run: refused.filter(|(token, _)| ran(token) > 0).count(),
@@ -130,7 +132,8 @@
         }
     }
 
-    /// The story of each call that ran more than once and must not: what was sent where, and the runs.
+    /// Describes each call that ran more than once although it must not: when it was sent to which
+    /// address, and when it ran on which instance.
     pub fn doubled(&self, ledger: &Ledger) -> Vec<String> {
         let runs = ledger.runs();
         let by_token = self.by_token();
@@ -139,17 +142,17 @@
             let runs = runs.get(token).filter(|runs| runs.len() > 1)?;
             let first = runs[0].at_us;
             let ms = |us: u64| (us as f64 - first as f64) / 1_000.0;
-            let mut story = format!("{token} ran twice, ms from its first run:");
+            let mut line = format!("{token} ran more than once; times in ms from its first run:");
             for record in records {
                 let (sent, took) = (ms(record.sent_us), record.latency.as_secs_f64() * 1_000.0);
                 let addr = record.addr.map_or_else(String::new, |addr| addr.to_string());
                 let ended = record.ended;
-                story += &format!(" sent {sent:.1} to {addr}, {ended:?} after {took:.1};");
+                line += &format!(" sent {sent:.1} to {addr}, {ended:?} after {took:.1};");
             }
             for run in runs {
-                story += &format!(" run {:.1} on {};", ms(run.at_us), run.instance);
+                line += &format!(" run {:.1} on {};", ms(run.at_us), run.instance);
             }
-            Some(story)
+            Some(line)
         })
         .collect()
     }
@@ -163,12 +166,14 @@
     }
 }
 
-fn is_denied(record: &Record) -> bool {
+/// Returns whether the answer claims that no request with the call's key has run.
+fn is_refused_as_not_run(record: &Record) -> bool {
     record.ended == Ended::Refused && record.reason.as_deref() != Some(IN_PROGRESS)
 }
 
 impl Tally {
-    /// For each ending but success, the kind's index, status, reason and detail with its count.
+    /// Counts the calls that did not end well by outcome, kind, status, reason and detail; the most
+    /// frequent combination comes first.
     pub fn failures(&self) -> Vec<(String, usize)> {
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for record in self.records.iter().filter(|record| record.ended != Ended::Ok) {
