--- a/crates/sycamore-bench/src/stand_in/mod.rs
+++ b/crates/sycamore-bench/src/stand_in/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for what the nodes speak with, each run as a process of its own.
+//! Stand-ins for the platform and the upstreams that nodes communicate with; each runs as its own
+//! process.
 
 pub mod platform;
 pub mod upstream;
--- a/crates/sycamore-bench/src/stand_in/platform/control.rs
+++ b/crates/sycamore-bench/src/stand_in/platform/control.rs
@@ -1,40 +1,41 @@
-//! Faults on command, and counts.
+//! Control messages for faults of the platform's stand-in, and its counters.
 
 use serde::{Deserialize, Serialize};
 
-/// A command to the stand-in; what it does not name stays.
+/// Control message to the stand-in; absent fields leave a property unchanged.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Control {
-    /// Everything is answered 503 for so long, in milliseconds; 0 ends an outage.
+    /// Duration of an outage in milliseconds, during which every request is answered with 503; 0 ends an
+    /// outage.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub outage_ms: Option<u64>,
-    /// Every answer is held back so long, in milliseconds.
+    /// Delay of every request in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub slow_ms: Option<u64>,
-    /// The answers of so many next writes are lost after the writes took effect.
+    /// Number of successful writes whose answers are lost, starting with the next.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub lost_answers: Option<u32>,
-    /// Cap on reads a second.
+    /// Limit on reads per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub reads_per_s: Option<u32>,
-    /// Cap on writes a second.
+    /// Limit on writes per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub writes_per_s: Option<u32>,
 }
 
-/// Counts since the stand-in started.
+/// Counters since the stand-in started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Stats {
-    /// Reads served.
+    /// Number of reads served.
     pub reads: u64,
-    /// Writes served, conflicts included.
+    /// Number of writes served, conflicts included.
     pub writes: u64,
-    /// Requests refused: over a cap, or in an outage.
+    /// Number of requests refused because of a rate limit or an outage.
     pub refused: u64,
-    /// Transactions whose conditions failed.
+    /// Number of transactions whose conditions did not hold.
     pub conflicts: u64,
-    /// Bytes of bodies received and sent.
+    /// Total size in bytes of the bodies received and sent.
     pub body_bytes: u64,
 }
--- a/crates/sycamore-bench/src/stand_in/platform/mod.rs
+++ b/crates/sycamore-bench/src/stand_in/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform: a transactional table and an object store, with faults on command.
+//! Emulated platform: a transactional table and an object store, with fault injection.
 
 mod control;
 mod objects;
--- a/crates/sycamore-bench/src/stand_in/platform/rate.rs
+++ b/crates/sycamore-bench/src/stand_in/platform/rate.rs
@@ -1,8 +1,8 @@
-//! Rate caps of the platform.
+//! Rate limits of the emulated platform.
 
 use std::time::Duration;
 
-/// A token bucket that holds at most one second's worth.
+/// Token bucket that holds at most the tokens of one second.
 #[derive(Debug, Clone)]
 pub struct RateCap {
     per_s: f64,
@@ -11,12 +11,12 @@
 }
 
 impl RateCap {
-    /// A full bucket of `per_s` requests a second.
+    /// Creates a full bucket for `per_s` requests per second.
     pub fn new(per_s: u32) -> Self {
         Self { per_s: f64::from(per_s), tokens: f64::from(per_s), last: Duration::ZERO }
     }
 
-    /// Takes one token at `now`, counted from any fixed start; false where there is none.
+    /// Takes a token and returns whether there was one; `now` is counted from any fixed point in time.
     pub fn take(&mut self, now: Duration) -> bool {
         let passed = now.saturating_sub(self.last).as_secs_f64();
         self.last = now;
@@ -29,17 +29,17 @@
     }
 }
 
-/// The platform's caps.
+/// Rate limits of the platform.
 #[derive(Debug, Clone)]
 pub struct RateCaps {
-    /// Reads.
+    /// Limit on reads.
     pub reads: RateCap,
-    /// Writes.
+    /// Limit on writes.
     pub writes: RateCap,
 }
 
 impl RateCaps {
-    /// Caps of so many reads and writes a second.
+    /// Creates limits for `reads_per_s` reads and `writes_per_s` writes per second.
     pub fn new(reads_per_s: u32, writes_per_s: u32) -> Self {
         Self { reads: RateCap::new(reads_per_s), writes: RateCap::new(writes_per_s) }
     }
--- a/crates/sycamore-bench/src/stand_in/platform/serve.rs
+++ b/crates/sycamore-bench/src/stand_in/platform/serve.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP interface.
+//! HTTP interface of the emulated platform.
 
 use super::{Control, Objects, RateCaps, Stats, Table, Transaction};
 use crate::http::{self as bench_http, json, text, Answer, Break, Listener, Reply, ServeOptions};
@@ -13,17 +13,17 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Rows in one page of a listing where the request names no limit.
-const PAGE_ROWS: usize = 1_000;
+/// Number of rows in a page of a listing if the request names no limit.
+const DEFAULT_PAGE_ROWS: usize = 1_000;
 
-/// Options of the stand-in.
+/// Options of the platform's stand-in.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Where it listens.
+    /// Address at which the stand-in listens.
     pub listen: SocketAddr,
-    /// Cap on reads a second.
+    /// Limit on reads per second.
     pub reads_per_s: u32,
-    /// Cap on writes a second.
+    /// Limit on writes per second.
     pub writes_per_s: u32,
 }
 
@@ -42,8 +42,11 @@
     table: Table,
     objects: Objects,
     caps: RateCaps,
+    /// End of the last outage, counted from the start.
     outage_until: Duration,
+    /// Delay of every request.
     slow: Duration,
+    /// Number of successful writes whose answers are still to be lost.
     lost_answers: u32,
     stats: Stats,
 }
@@ -53,10 +56,10 @@
     Write,
 }
 
-/// Serves until the future is dropped.
+/// Serves requests until the future is dropped.
 ///
 /// # Errors
-/// [`crate::BenchError::Io`] where the address is taken.
+/// [`crate::BenchError::Io`] if the address can't be bound.
 pub async fn run(options: Options) -> Result<()> {
     let listener = Listener::bind(options.listen)?;
     let platform = Rc::new(RefCell::new(Platform {
@@ -101,14 +104,14 @@
         }
         match serde_json::from_slice::<Control>(body) {
             Ok(control) => {
-                self.apply(&control);
+                self.apply_control(&control);
                 json(StatusCode::OK, &self.stats)
             }
             Err(error) => text(StatusCode::BAD_REQUEST, format!("{error}\n")),
         }
     }
 
-    fn apply(&mut self, control: &Control) {
+    fn apply_control(&mut self, control: &Control) {
         if let Some(outage) = control.outage_ms {
             self.outage_until = self.now() + Duration::from_millis(outage);
         }
@@ -146,6 +149,7 @@
         Ok(answer)
     }
 
+    /// Counts a request and returns the refusal if there is an outage or its rate limit is exceeded.
     fn refusal(&mut self, access: &Access) -> Option<Answer> {
         let now = self.now();
         if now < self.outage_until {
@@ -166,14 +170,14 @@
 
     fn dispatch(&mut self, head: &http::request::Parts, body: Bytes) -> Answer {
         let path = decode(head.uri.path());
-        let query = Query::of(head.uri.query().unwrap_or(""));
+        let query = Query::parse(head.uri.query().unwrap_or(""));
         match (&head.method, path.as_str()) {
             (&Method::GET, "/table/rows") => self.rows(&query),
             (&Method::POST, "/table/transact") => self.transact(&body),
             (&Method::GET, "/objects") => {
                 json(StatusCode::OK, &self.objects.keys(query.get("prefix").unwrap_or("")))
             }
-            (method, path) => match (method, split(path)) {
+            (method, path) => match (method, split_resource(path)) {
                 (&Method::GET, Some(("row", key))) => self.row(key),
                 (&Method::GET, Some(("object", key))) => match self.objects.get(key) {
                     Some(object) => text(StatusCode::OK, object.clone()),
@@ -193,7 +197,8 @@
     }
 
     fn rows(&self, query: &Query) -> Answer {
-        let limit = query.get("limit").and_then(|limit| limit.parse().ok()).unwrap_or(PAGE_ROWS);
+        let limit = query.get("limit").and_then(|limit| limit.parse().ok());
+        let limit = limit.unwrap_or(DEFAULT_PAGE_ROWS);
         let prefix = query.get("prefix").unwrap_or("");
         let (rows, more) = self.table.list(prefix, query.get("after").unwrap_or(""), limit);
         json(StatusCode::OK, &value!({ "rows": rows, "more": more }))
@@ -226,17 +231,19 @@
     }
 }
 
-fn split(path: &str) -> Option<(&'static str, &str)> {
+/// Splits a path into the kind of resource, `row` or `object`, and its key.
+fn split_resource(path: &str) -> Option<(&'static str, &str)> {
     if let Some(key) = path.strip_prefix("/table/row/") {
         return Some(("row", key));
     }
     path.strip_prefix("/objects/").map(|key| ("object", key))
 }
 
+/// Decoded parameters of a query string.
 struct Query(Vec<(String, String)>);
 
 impl Query {
-    fn of(query: &str) -> Self {
+    fn parse(query: &str) -> Self {
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         Self(pairs.map(|(key, value)| (decode(key), decode(value))).collect())
     }
@@ -246,7 +253,7 @@
     }
 }
 
-/// Resolves percent-encoding.
+/// Decodes percent-encoding.
 fn decode(text: &str) -> String {
     percent_encoding::percent_decode_str(text).decode_utf8_lossy().into_owned()
 }
--- a/crates/sycamore-bench/src/stand_in/platform/table.rs
+++ b/crates/sycamore-bench/src/stand_in/platform/table.rs
@@ -1,76 +1,77 @@
-//! Rows with revisions, changed by conditional transactions.
+//! Table of the emulated platform: rows with revisions, changed by conditional transactions.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// A row as it is read.
+/// Row of the table.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// Its value.
+    /// Value of the row, never null.
     pub value: Value,
-    /// Grows with each write of the row, from 1.
+    /// Revision of the row: 1 after the first write, one more after each further write.
     pub revision: u64,
 }
 
-/// What a transaction demands of a row.
+/// Condition of a transaction on a row.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// The revision it must have; 0 means absent.
+    /// Revision that the row must have; 0 if it must be absent.
     pub revision: u64,
 }
 
-/// What a transaction writes.
+/// Write of a transaction to a row.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Write {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// Its new value; null deletes the row.
+    /// New value of the row; null deletes it.
     pub value: Value,
 }
 
 /// Conditions and writes that take effect together or not at all.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// Conditions that must all hold.
     #[serde(default)]
     pub conditions: Vec<Condition>,
-    /// What is written.
+    /// Writes that are applied in order.
     #[serde(default)]
     pub writes: Vec<Write>,
 }
 
-/// A row that did not meet its condition.
+/// Condition that did not hold, with the row's present state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// The row's key.
+    /// Key of the row.
     pub key: String,
-    /// Its revision; 0 where it is absent.
+    /// Revision of the row; 0 if it is absent.
     pub revision: u64,
-    /// Its value; null where it is absent.
+    /// Value of the row; null if it is absent.
     pub value: Value,
 }
 
-/// The table.
+/// Table in memory.
 #[derive(Debug, Default)]
 pub struct Table {
     rows: BTreeMap<String, Row>,
+    /// Last revision of each deleted row.
     deleted: BTreeMap<String, u64>,
 }
 
 impl Table {
-    /// The row under `key`.
+    /// Returns the row with `key`.
     pub fn get(&self, key: &str) -> Option<&Row> {
         self.rows.get(key)
     }
 
-    /// At most `limit` rows whose key starts with `prefix` and is greater than `after`, by key,
-    /// and whether there are more.
+    /// Returns at most `limit` rows whose key starts with `prefix` and is greater than `after`, sorted by
+    /// key, and whether there are more.
     pub fn list(&self, prefix: &str, after: &str, limit: usize) -> (Vec<&Row>, bool) {
         let start = if after >= prefix && !after.is_empty() {
             Bound::Excluded(after)
@@ -87,10 +88,11 @@
         (page, more)
     }
 
-    /// Applies `transaction` whole and gives the new revisions.
+    /// Applies all writes of `transaction` if all of its conditions hold, and returns the new revision of
+    /// each written row, 0 for a deleted one.
     ///
     /// # Errors
-    /// Every row that did not meet its condition; nothing is changed.
+    /// All conditions that did not hold; nothing is changed then.
     pub fn transact(
         &mut self,
         transaction: &Transaction,
@@ -106,6 +108,7 @@
         Ok(transaction.writes.iter().map(|write| (write.key.clone(), self.write(write))).collect())
     }
 
+    /// Returns the conflict if `condition` doesn't hold.
     fn conflict(&self, condition: &Condition) -> Option<Conflict> {
         let row = self.rows.get(&condition.key);
         let revision = row.map_or(0, |row| row.revision);
@@ -117,7 +120,8 @@
         })
     }
 
-    /// A deleted row's revisions go on where they stopped, so that no revision comes twice.
+    /// Applies a write and returns the row's new revision, 0 for a deletion. A row that is created again
+    /// after its deletion continues its old revisions, so that no revision occurs twice.
     fn write(&mut self, write: &Write) -> u64 {
         let last = match self.rows.remove(&write.key) {
             Some(row) => row.revision,
--- a/crates/sycamore-bench/src/stand_in/upstream/announce.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/announce.rs
@@ -1,4 +1,4 @@
-//! The upstream's words to its node.
+//! Announcements and drain notices that an upstream sends to its node.
 
 use super::Options;
 use crate::http::Client;
@@ -10,34 +10,34 @@
 use std::time::Duration;
 
 /// Time between two announcements.
-const INTERVAL: Duration = Duration::from_secs(1);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two tries while the node can't be reached.
-const RETRY: Duration = Duration::from_millis(100);
+/// Time between two attempts while the node does not accept an announcement.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time that the node has to answer.
+/// Longest wait for the node's answer.
 const TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Announces the upstream to `node` until the future is dropped; `first` is called once, when the
-/// node has heard it.
+/// Announces the upstream to `node` periodically until the future is dropped; calls `first` once, when
+/// the node has accepted the first announcement.
 pub async fn announce(options: &Options, node: SocketAddr, first: impl FnOnce()) {
     let client = Client::default();
     let mut first = Some(first);
     loop {
-        let heard = post(&client, node, "/shift/announce", body(options)).await;
-        if let (true, Some(first)) = (heard, first.take_if(|_| heard)) {
+        let accepted = post(&client, node, "/shift/announce", announcement(options)).await;
+        if let (true, Some(first)) = (accepted, first.take_if(|_| accepted)) {
             first();
         }
-        monoio::time::sleep(if heard { INTERVAL } else { RETRY }).await;
+        monoio::time::sleep(if accepted { ANNOUNCE_INTERVAL } else { RETRY_INTERVAL }).await;
     }
 }
 
-/// Tells `node` that its upstream leaves.
+/// Notifies `node` once that its upstream begins to drain; an error is ignored.
 pub async fn drain(node: SocketAddr) {
     post(&Client::default(), node, "/shift/drain", Bytes::new()).await;
 }
 
-fn body(options: &Options) -> Bytes {
+fn announcement(options: &Options) -> Bytes {
     let announcement = json!({
         "version": options.version,
         "address": options.announced.unwrap_or(options.listen),
@@ -48,6 +48,7 @@
     Bytes::from(announcement.to_string())
 }
 
+/// Sends a POST request and returns whether it was answered with a success status.
 async fn post(client: &Client, node: SocketAddr, path: &str, body: Bytes) -> bool {
     let req = Request::post(path).header(http::header::HOST, node.to_string());
     let Ok(req) = req.body(Full::new(body)) else { return false };
--- a/crates/sycamore-bench/src/stand_in/upstream/badness.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/badness.rs
@@ -1,4 +1,4 @@
-//! Kinds of badness of a version.
+//! Defects of a version that an upstream emulates.
 
 use rand::rngs::SmallRng;
 use rand::Rng;
@@ -7,61 +7,61 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// How a version is bad.
+/// Kind of defect of a version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Badness {
-    /// Not at all.
+    /// The version has no defect.
     #[default]
     None,
-    /// Three in ten requests fail from the start.
+    /// 30 % of requests fail from the start.
     FailsAtOnce,
     /// All requests take four times as long from the start.
     SlowAtOnce,
-    /// As [`Badness::FailsAtOnce`], but only after a time.
+    /// 30 % of requests fail, but only once [`super::Options::bad_onset`] has passed.
     FailsLater,
     /// Requests take six times as long while more than a third of the slots are taken.
     SlowUnderLoad,
-    /// Six in ten requests fail, on one route only.
+    /// 60 % of requests fail whose path contains [`super::Options::bad_route`].
     OneBadRoute,
-    /// One request in fifty crashes the upstream.
+    /// 2 % of requests crash the upstream.
     Crashes,
     /// All requests of about one caller in eight fail.
     WrongForOneCaller,
 }
 
-/// Callers are told apart into so many groups, of which one is wronged.
+/// Number of groups that callers are hashed into; [`Badness::WrongForOneCaller`] affects one group.
 const CALLER_GROUPS: u64 = 8;
 
-/// What becomes of one request.
+/// Result of a request on a version with a defect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// It is answered.
+pub enum RequestResult {
+    /// The request is answered normally.
     Answered,
-    /// It is answered 500.
+    /// The request is answered with status 500.
     Failed,
-    /// It crashes the upstream.
+    /// The request crashes the upstream.
     Crash,
 }
 
-/// What badness depends on.
+/// Properties of a request and its upstream on which the effect of a defect depends.
 #[derive(Debug, Clone)]
-pub struct Circumstances<'a> {
+pub struct RequestContext<'a> {
     /// Time since the upstream started.
     pub age: Duration,
-    /// Time after which late badness shows.
+    /// Time since the start after which [`Badness::FailsLater`] takes effect.
     pub onset: Duration,
-    /// Slots taken, as a fraction.
+    /// Fraction of the upstream's slots that are taken, from 0.0 to 1.0.
     pub busy: f64,
-    /// The request's path.
+    /// Path of the request.
     pub path: &'a str,
-    /// What the path of the bad route holds.
+    /// Text by which [`Badness::OneBadRoute`] recognizes a path.
     pub bad_route: &'a str,
-    /// The caller's name.
+    /// Name of the caller; empty if the request has none.
     pub caller: &'a str,
 }
 
 impl Badness {
-    /// Every kind but [`Badness::None`].
+    /// All kinds except [`Badness::None`].
     pub const KINDS: [Badness; 7] = [
         Badness::FailsAtOnce,
         Badness::SlowAtOnce,
@@ -72,12 +72,12 @@
         Badness::WrongForOneCaller,
     ];
 
-    /// A kind drawn from `rng`.
+    /// Draws one of [`Badness::KINDS`].
     pub fn draw(rng: &mut impl Rng) -> Self {
         Self::KINDS[rng.random_range(0..Self::KINDS.len())]
     }
 
-    /// The kind as options write it.
+    /// Returns the kind's name on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             Badness::None => "none",
@@ -91,26 +91,26 @@
         }
     }
 
-    /// What becomes of a request.
-    pub fn fate(self, at: &Circumstances<'_>, rng: &mut SmallRng) -> Fate {
+    /// Draws the result of a request.
+    pub fn draw_result(self, at: &RequestContext<'_>, rng: &mut SmallRng) -> RequestResult {
         let failed = match self {
             Badness::None | Badness::SlowAtOnce | Badness::SlowUnderLoad => false,
             Badness::FailsAtOnce => rng.random_bool(0.3),
             Badness::FailsLater => at.age >= at.onset && rng.random_bool(0.3),
             Badness::OneBadRoute => at.path.contains(at.bad_route) && rng.random_bool(0.6),
             Badness::WrongForOneCaller => caller_group(at.caller) == 0,
-            Badness::Crashes if rng.random_bool(0.02) => return Fate::Crash,
+            Badness::Crashes if rng.random_bool(0.02) => return RequestResult::Crash,
             Badness::Crashes => false,
         };
         if failed {
-            Fate::Failed
+            RequestResult::Failed
         } else {
-            Fate::Answered
+            RequestResult::Answered
         }
     }
 
-    /// How many times longer a request takes.
-    pub fn slowdown(self, at: &Circumstances<'_>) -> f64 {
+    /// Returns the factor by which a request takes longer.
+    pub fn slowdown(self, at: &RequestContext<'_>) -> f64 {
         match self {
             Badness::SlowAtOnce => 4.0,
             Badness::SlowUnderLoad if at.busy > 1.0 / 3.0 => 6.0,
@@ -119,7 +119,7 @@
     }
 }
 
-/// The group that `caller` falls into.
+/// Returns the group that `caller` is hashed into.
 pub fn caller_group(caller: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     caller.hash(&mut hasher);
@@ -139,6 +139,9 @@
         std::iter::once(Badness::None)
             .chain(Badness::KINDS)
             .find(|kind| kind.as_str() == text)
-            .ok_or_else(|| format!("{text:?} is no kind of badness"))
+            .ok_or_else(|| {
+                let names: Vec<_> = Badness::KINDS.iter().map(|kind| kind.as_str()).collect();
+                format!("unknown kind of badness {text:?}, expected none, {}", names.join(", "))
+            })
     }
 }
--- a/crates/sycamore-bench/src/stand_in/upstream/headers.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/headers.rs
@@ -1,21 +1,22 @@
-//! Headers by which load and upstreams of the development tool understand each other. Nodes pass
-//! them on as they pass any header.
+//! Headers that the load generator and emulated upstreams exchange. Nodes forward them like any other
+//! header.
 
-/// On requests and answers: identifies the request; answers echo it.
+/// Request and answer header: token that identifies the request; answers repeat it.
 pub const TOKEN: &str = "bench-token";
-/// On requests: time to work, in microseconds, instead of the upstream's own.
+/// Request header: mean run time in microseconds, instead of [`super::Options::work`].
 pub const WORK_US: &str = "bench-work-us";
-/// On requests: paths to call onward, one after another in depth, separated by commas.
+/// Request header: paths of nested calls, separated by commas. The upstream calls the first path and
+/// passes the others on with that call.
 pub const ONWARD: &str = "bench-onward";
-/// On requests: size of the answer's body in bytes.
+/// Request header: size of the answer's body in bytes.
 pub const ANSWER_BYTES: &str = "bench-answer-bytes";
-/// On requests: the upstream crashes when it runs it.
+/// Request header: the upstream crashes when it runs the request, whatever the value.
 pub const CRASH: &str = "bench-crash";
-/// On answers: checksum of the request's body as it arrived.
+/// Answer header: checksum of the request's body as the upstream received it.
 pub const RECEIVED_SUM: &str = "bench-received-sum";
-/// On answers: checksum of the answer's body as it was sent.
+/// Answer header: checksum of the answer's body as the upstream sent it.
 pub const SENT_SUM: &str = "bench-sent-sum";
-/// On answers: the instance that ran the request.
+/// Answer header: name of the instance that ran the request.
 pub const INSTANCE: &str = "bench-instance";
-/// On answers: the version that ran the request.
+/// Answer header: version of the upstream that ran the request.
 pub const VERSION: &str = "bench-version";
--- a/crates/sycamore-bench/src/stand_in/upstream/mod.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/mod.rs
@@ -1,4 +1,5 @@
-//! An upstream: slots, cold start, shedding, cancellation, deadlines, drain, and badness by kind.
+//! Emulated upstream with slots, cold start, load shedding, cancellation, deadlines, drain and
+//! selectable defects.
 
 mod announce;
 mod badness;
@@ -10,7 +11,7 @@
 mod serve;
 mod slots;
 
-pub use badness::{Badness, Fate};
+pub use badness::{Badness, RequestResult};
 pub use options::{Options, Probe};
 pub use payload::{checksum, fill};
 pub use serve::run;
--- a/crates/sycamore-bench/src/stand_in/upstream/onward.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/onward.rs
@@ -1,4 +1,4 @@
-//! Calls that the upstream makes in turn, through its node.
+//! Nested calls that an upstream makes through its node to serve a request.
 
 use super::headers;
 use crate::http::Client;
@@ -9,40 +9,41 @@
 use std::time::Duration;
 use sycamore_types::headers as shift;
 
-/// Headers that a call onward takes over from the call it serves.
+/// Headers that a nested call copies from the request it serves.
 const INHERITED: [&str; 4] = [shift::HOPS, shift::CRITICALITY, shift::CALLER, headers::WORK_US];
 
-/// What became of a call onward.
+/// Outcome of a nested call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Onward {
-    /// There was none to make, or it succeeded.
-    Fine,
-    /// It was answered with this status.
+pub enum NestedCall {
+    /// The call succeeded, or the request asked for none.
+    Ok,
+    /// The call was answered with this error status.
     Failed(StatusCode),
-    /// No answer came.
+    /// No complete answer arrived.
     NoAnswer,
 }
 
-/// Makes the first call of the list in `incoming`, with `left` time for it.
+/// Makes the first nested call that the request headers `incoming` ask for, through `node` and with
+/// the timeout `left`. Makes no call without a node.
 pub async fn call(
     client: &Client,
     node: Option<SocketAddr>,
     incoming: &HeaderMap,
     token: &str,
     left: Option<Duration>,
-) -> Onward {
+) -> NestedCall {
     let Some(list) = incoming.get(headers::ONWARD).and_then(|list| list.to_str().ok()) else {
-        return Onward::Fine;
+        return NestedCall::Ok;
     };
     let (path, rest) = list.split_once(',').unwrap_or((list, ""));
-    let Some(node) = node.filter(|_| !path.is_empty()) else { return Onward::Fine };
+    let Some(node) = node.filter(|_| !path.is_empty()) else { return NestedCall::Ok };
     let Some(req) = request(node, incoming, path, rest, token, left) else {
-        return Onward::NoAnswer;
+        return NestedCall::NoAnswer;
     };
     match client.send(node, req).await {
-        Ok(exchange) if exchange.status.is_success() => Onward::Fine,
-        Ok(exchange) => Onward::Failed(exchange.status),
-        Err(_) => Onward::NoAnswer,
+        Ok(exchange) if exchange.status.is_success() => NestedCall::Ok,
+        Ok(exchange) => NestedCall::Failed(exchange.status),
+        Err(_) => NestedCall::NoAnswer,
     }
 }
 
--- a/crates/sycamore-bench/src/stand_in/upstream/options.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/options.rs
@@ -1,19 +1,19 @@
-//! Options of the emulated upstream.
+//! Command-line options of the emulated upstream.
 
 use super::Badness;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::str::FromStr;
 use std::time::Duration;
 
-/// What the health and load endpoints tell.
+/// Behaviour of the health and load endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Probe {
-    /// The truth.
+    /// The endpoints report the current state.
     Honest,
-    /// What was true three seconds ago.
+    /// The endpoints report the state of three seconds ago.
     #[default]
     Lagging,
-    /// Always healthy and idle.
+    /// The endpoints always report a healthy and idle upstream.
     Misleading,
 }
 
@@ -31,13 +31,13 @@
             "honest" => Ok(Probe::Honest),
             "lagging" => Ok(Probe::Lagging),
             "misleading" => Ok(Probe::Misleading),
-            _ => Err(format!("{text:?} is none of honest, lagging, misleading")),
+            _ => Err(format!("unknown probe {text:?}, expected honest, lagging or misleading")),
         }
     }
 }
 
 impl Probe {
-    /// The kind as options write it.
+    /// Returns the behaviour's name on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             Probe::Honest => "honest",
@@ -50,43 +50,44 @@
 /// Options of the emulated upstream.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Where it listens for its node.
+    /// Address at which the upstream listens.
     pub listen: SocketAddr,
-    /// Where its node is to reach it, where that is not [`Options::listen`].
+    /// Address that the upstream announces to its node; `None` announces [`Options::listen`].
     pub announced: Option<SocketAddr>,
-    /// Its node's upstream listener; without one it serves alone.
+    /// Address of the node's listener for its upstream; without a node the upstream announces nothing
+    /// and makes no nested calls.
     pub node: Option<SocketAddr>,
-    /// Where it reports its runs.
+    /// Address of the witness to which the upstream reports its runs; `None` reports nothing.
     pub witness: Option<SocketAddr>,
-    /// Its instance, for reports.
+    /// Name of the upstream's instance, for reports and answers.
     pub instance: String,
-    /// Its service, for reports.
+    /// Service of the upstream, for reports.
     pub service: String,
-    /// Its version.
+    /// Version of the upstream, which it announces and reports.
     pub version: String,
-    /// Requests that run at the same time.
+    /// Largest number of requests that run at the same time.
     pub slots: u16,
-    /// Requests that wait for a slot; more are shed.
+    /// Largest number of requests that wait for a slot; more are shed.
     pub queue: u16,
-    /// Connections that it takes.
+    /// Largest number of open connections; further ones are closed at once.
     pub connections: u16,
-    /// Time that opening a connection takes.
+    /// Time that it takes to open a connection.
     pub open: Duration,
-    /// Mean time that a request takes; each is drawn between half and one and a half of it.
+    /// Mean run time of a request; each request's is drawn from 0.5 to 1.5 times this.
     pub work: Duration,
-    /// Time after the start during which requests take up to four times as long.
+    /// Duration of the cold start, during which requests take up to four times as long.
     pub cold: Duration,
-    /// What its health and load endpoints tell.
+    /// Behaviour of the health and load endpoints.
     pub probe: Probe,
-    /// How it is bad.
+    /// Defect that the upstream emulates.
     pub bad: Badness,
-    /// Time after which late badness shows.
+    /// Time since the start after which [`Badness::FailsLater`] takes effect.
     pub bad_onset: Duration,
-    /// What the path of the bad route holds.
+    /// Text in the paths of requests that [`Badness::OneBadRoute`] affects.
     pub bad_route: String,
-    /// Time that SIGTERM leaves for requests in flight.
+    /// Longest time from SIGTERM to the exit, for requests in flight.
     pub grace: Duration,
-    /// Seed of all that is drawn.
+    /// Seed of all random decisions.
     pub seed: u64,
 }
 
@@ -117,7 +118,7 @@
 }
 
 impl Options {
-    /// The options as arguments of the command line.
+    /// Returns the command-line arguments that start the development tool with these options.
     pub fn to_args(&self) -> Vec<String> {
         let mut args: Vec<String> = vec!["stand-in".into(), "upstream".into()];
         let mut add = |name: &str, value: String| args.extend([format!("--{name}"), value]);
--- a/crates/sycamore-bench/src/stand_in/upstream/payload.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/payload.rs
@@ -1,13 +1,14 @@
-//! Bodies and their checksums.
+//! Generates bodies of requests and answers, and their checksums.
 
 use bytes::Bytes;
 
-/// Checksum of `body`, as headers carry it.
+/// Returns the checksum of `body`: 16 hexadecimal digits of its BLAKE3 hash.
 pub fn checksum(body: &[u8]) -> String {
     blake3::hash(body).to_hex().as_str()[..16].to_owned()
 }
 
-/// A body of `len` bytes that follows from `token`, so that no two requests share one.
+/// Returns a body of `len` bytes derived from `token`: different requests have different bodies, so
+/// that a mix-up is noticed.
 pub fn fill(token: &str, len: usize) -> Bytes {
     let mut body = vec![0; len];
     blake3::Hasher::new().update(token.as_bytes()).finalize_xof().fill(&mut body);
--- a/crates/sycamore-bench/src/stand_in/upstream/probes.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/probes.rs
@@ -1,4 +1,4 @@
-//! Health and load endpoints that lag or mislead.
+//! Health and load endpoints, which can be made to lag or to mislead.
 
 use super::Probe;
 use crate::http::{json, text, Answer};
@@ -7,26 +7,27 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How far behind lagging endpoints are.
+/// Age of the state that lagging endpoints report.
 const LAG: Duration = Duration::from_secs(3);
 
-/// What the load endpoint tells.
+/// Load of the upstream, as the load endpoint reports it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Load {
-    /// Slots taken.
+    /// Number of slots taken.
     pub busy: usize,
-    /// Requests that wait.
+    /// Number of requests that wait for a slot.
     pub queued: usize,
 }
 
-/// The endpoints' memory.
+/// Recent states of the upstream, from which lagging endpoints answer.
 #[derive(Debug, Default)]
 pub struct Probes {
     samples: VecDeque<(Duration, Load, bool)>,
 }
 
 impl Probes {
-    /// Remembers the truth at `now`.
+    /// Records the state at `now`, counted from the upstream's start, and drops states that are too old
+    /// to be reported.
     pub fn sample(&mut self, now: Duration, load: Load, healthy: bool) {
         self.samples.push_back((now, load, healthy));
         while self.samples.get(1).is_some_and(|(at, ..)| *at + LAG <= now) {
@@ -34,7 +35,8 @@
         }
     }
 
-    fn told(&self, probe: Probe, load: Load, healthy: bool) -> (Load, bool) {
+    /// Returns the load and health that `probe` reports while `load` and `healthy` are the current ones.
+    fn reported(&self, probe: Probe, load: Load, healthy: bool) -> (Load, bool) {
         match probe {
             Probe::Honest => (load, healthy),
             Probe::Misleading => (Load::default(), true),
@@ -44,14 +46,14 @@
         }
     }
 
-    /// The answer of the load endpoint.
+    /// Returns the answer of the load endpoint.
     pub fn load(&self, probe: Probe, load: Load) -> Answer {
-        json(StatusCode::OK, &self.told(probe, load, true).0)
+        json(StatusCode::OK, &self.reported(probe, load, true).0)
     }
 
-    /// The answer of the health endpoint.
+    /// Returns the answer of the health endpoint.
     pub fn health(&self, probe: Probe, healthy: bool) -> Answer {
-        match self.told(probe, Load::default(), healthy).1 {
+        match self.reported(probe, Load::default(), healthy).1 {
             true => text(StatusCode::OK, "healthy\n"),
             false => text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n"),
         }
--- a/crates/sycamore-bench/src/stand_in/upstream/serve.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/serve.rs
@@ -1,8 +1,8 @@
-//! The upstream itself.
+//! Server of the emulated upstream: runs requests, reports them to the witness, and drains on SIGTERM.
 
 use super::announce;
-use super::badness::{Circumstances, Fate};
-use super::onward::{self, Onward};
+use super::badness::{RequestContext, RequestResult};
+use super::onward::{self, NestedCall};
 use super::probes::{Load, Probes};
 use super::{checksum, fill, headers, Options, Slots};
 use crate::http::{self as bench_http, text, Answer, Break, Client, Listener, Reply, ServeOptions};
@@ -24,22 +24,24 @@
 use std::time::{Duration, Instant};
 use sycamore_types::headers as shift;
 
-/// Time between two looks at the signal flag; also the sampling interval of the endpoints.
+/// Time between two checks of the signal flag; also the sampling interval of the health and load
+/// endpoints.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Time without a request in flight after which a leaving upstream exits.
-const QUIET: Duration = Duration::from_secs(1);
+/// Time without a request in flight after which a draining upstream exits.
+const IDLE_BEFORE_EXIT: Duration = Duration::from_secs(1);
 
-/// Factor by which a cold upstream is slower at its start; it falls to 1 in a straight line.
+/// Factor by which requests take longer right after a cold start; it decreases linearly to 1.
 const COLD_FACTOR: f64 = 4.0;
 
-/// Work shorter than this is done by spinning, since timers tick in milliseconds.
+/// Run time below which a request spins instead of sleeping, because timers have a resolution of a
+/// millisecond.
 const SPIN_BELOW: Duration = Duration::from_millis(1);
 
-/// Time that a request runs before it crashes the upstream.
+/// Time for which a request runs before it crashes the upstream.
 const CRASH_AFTER: Duration = Duration::from_millis(5);
 
-/// Exit status of a crash.
+/// Exit status after a crash.
 const CRASH_STATUS: i32 = 70;
 
 struct Upstream {
@@ -50,18 +52,20 @@
     reporter: Reporter,
     probes: RefCell<Probes>,
     client: Client,
+    /// Number of requests in flight, waiting ones included.
     requests: Cell<usize>,
     draining: Cell<bool>,
 }
 
-/// Serves until SIGTERM and then until nothing is in flight.
+/// Serves requests until SIGTERM, and then until no request has been in flight for a second or
+/// [`Options::grace`] has passed.
 ///
 /// # Errors
-/// [`BenchError::Io`] where the address is taken or the witness can't be reached.
+/// [`BenchError::Io`] if the address can't be bound or the witness can't be reached.
 pub async fn run(options: Options) -> Result<()> {
     let term = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(signal_hook::consts::SIGTERM, term.clone())
-        .change_context_lazy(|| BenchError::Io("signal handler".into()))?;
+        .change_context_lazy(|| BenchError::Io("register a handler of SIGTERM".into()))?;
     let listener = Listener::bind(options.listen)?;
     let upstream = Rc::new(Upstream::new(options)?);
     let limits = ServeOptions {
@@ -75,8 +79,8 @@
             async move { upstream.answer(req).await }
         }
     });
-    let life = upstream.live(&term);
-    select(pin!(serve), pin!(life)).await;
+    let lifecycle = upstream.announce_and_drain(&term);
+    select(pin!(serve), pin!(lifecycle)).await;
     Ok(())
 }
 
@@ -101,8 +105,8 @@
         })
     }
 
-    /// Announces until SIGTERM, then drains; ends when the process may exit.
-    async fn live(&self, term: &AtomicBool) {
+    /// Announces the upstream until SIGTERM, then drains it; returns when the process may exit.
+    async fn announce_and_drain(&self, term: &AtomicBool) {
         let first = || self.reporter.report(SightingKind::Up, "", "");
         let announcing = async {
             match self.options.node {
@@ -110,32 +114,33 @@
                 None => std::future::pending().await,
             }
         };
-        select(pin!(announcing), pin!(self.until_term(term))).await;
+        select(pin!(announcing), pin!(self.wait_for_term(term))).await;
         self.draining.set(true);
         if let Some(node) = self.options.node {
             announce::drain(node).await;
         }
         self.reporter.report(SightingKind::Drain, "", "");
-        self.until_quiet().await;
+        self.wait_until_idle().await;
     }
 
-    async fn until_term(&self, term: &AtomicBool) {
+    async fn wait_for_term(&self, term: &AtomicBool) {
         while !term.load(Ordering::Relaxed) {
             self.tick().await;
         }
     }
 
-    async fn until_quiet(&self) {
+    async fn wait_until_idle(&self) {
         let end = Instant::now() + self.options.grace;
-        let mut quiet_since = Instant::now();
-        while quiet_since.elapsed() < QUIET && Instant::now() < end {
+        let mut idle_since = Instant::now();
+        while idle_since.elapsed() < IDLE_BEFORE_EXIT && Instant::now() < end {
             self.tick().await;
             if self.requests.get() > 0 {
-                quiet_since = Instant::now();
+                idle_since = Instant::now();
             }
         }
     }
 
+    /// Samples the state for the endpoints and sleeps for [`TICK`].
     async fn tick(&self) {
         let now = self.start.elapsed();
         self.probes.borrow_mut().sample(now, self.load(), !self.draining.get());
@@ -146,6 +151,7 @@
         Load { busy: self.slots.taken(), queued: self.slots.queued() }
     }
 
+    /// Answers a request of any kind, probes included.
     async fn answer(&self, req: Request<Incoming>) -> Reply {
         match req.uri().path() {
             "/health" => {
@@ -154,13 +160,15 @@
             }
             "/load" => Ok(self.probes.borrow().load(self.options.probe, self.load())),
             _ => {
-                let _counted = Counted::new(&self.requests);
-                self.take(req).await
+                let _in_flight = InFlight::new(&self.requests);
+                self.admit(req).await
             }
         }
     }
 
-    async fn take(&self, req: Request<Incoming>) -> Reply {
+    /// Waits for a slot and runs the request in it; sheds the request if the queue is full or its
+    /// deadline passes.
+    async fn admit(&self, req: Request<Incoming>) -> Reply {
         let arrived = Instant::now();
         let (head, body) = req.into_parts();
         let body = body.collect().await.map_err(|_| Break)?.to_bytes();
@@ -181,6 +189,7 @@
         reply
     }
 
+    /// Runs a request that has a slot.
     async fn run(
         &self,
         head: &http::request::Parts,
@@ -191,35 +200,35 @@
         let path = head.uri.path();
         self.reporter.report(SightingKind::Start, token, path);
         let run = Running { reporter: &self.reporter, token, path, ended: Cell::new(false) };
-        let (fate, work) = self.draw(head);
-        if fate == Fate::Crash || head.headers.contains_key(headers::CRASH) {
+        let (result, work) = self.draw_run(head);
+        if result == RequestResult::Crash || head.headers.contains_key(headers::CRASH) {
             monoio::time::sleep(CRASH_AFTER).await;
             std::process::exit(CRASH_STATUS);
         }
         let left = deadline.map(|end| end.saturating_duration_since(Instant::now()));
         let work = async {
-            pause(work).await;
+            work_for(work).await;
             onward::call(&self.client, self.options.node, &head.headers, token, left).await
         };
         let answer = match within(deadline, work).await {
             None => timed_out(),
-            Some(Onward::Failed(status)) => text(status, "a call onward failed\n"),
-            Some(Onward::NoAnswer) => text(StatusCode::BAD_GATEWAY, "no answer from onward\n"),
-            Some(Onward::Fine) if fate == Fate::Failed => {
+            Some(NestedCall::Failed(status)) => text(status, "a call onward failed\n"),
+            Some(NestedCall::NoAnswer) => text(StatusCode::BAD_GATEWAY, "no answer from onward\n"),
+            Some(NestedCall::Ok) if result == RequestResult::Failed => {
                 text(StatusCode::INTERNAL_SERVER_ERROR, "failed\n")
             }
-            Some(Onward::Fine) => self.success(&head.headers, token),
+            Some(NestedCall::Ok) => self.success(&head.headers, token),
         };
         run.ended.set(true);
         self.reporter.report(SightingKind::End, token, path);
-        Ok(self.sign(answer, token, body))
+        Ok(self.add_headers(answer, token, body))
     }
 
-    /// What becomes of the request, and how long it takes.
-    fn draw(&self, head: &http::request::Parts) -> (Fate, Duration) {
+    /// Draws the request's result and run time.
+    fn draw_run(&self, head: &http::request::Parts) -> (RequestResult, Duration) {
         let mut rng = self.rng.borrow_mut();
         let options = &self.options;
-        let at = Circumstances {
+        let at = RequestContext {
             age: self.start.elapsed(),
             onset: options.bad_onset,
             busy: self.slots.taken() as f64 / f64::from(options.slots.max(1)),
@@ -227,12 +236,13 @@
             bad_route: &options.bad_route,
             caller: header(&head.headers, shift::CALLER).unwrap_or_default(),
         };
-        let asked = header(&head.headers, headers::WORK_US).and_then(|us| us.parse().ok());
-        let mean = asked.map_or(options.work, Duration::from_micros);
+        let requested = header(&head.headers, headers::WORK_US).and_then(|us| us.parse().ok());
+        let mean = requested.map_or(options.work, Duration::from_micros);
         let factor = rng.random_range(0.5..1.5) * options.bad.slowdown(&at) * self.cold_factor();
-        (options.bad.fate(&at, &mut rng), mean.mul_f64(factor))
+        (options.bad.draw_result(&at, &mut rng), mean.mul_f64(factor))
     }
 
+    /// Returns the factor by which requests take longer because of the cold start, 1 afterwards.
     fn cold_factor(&self) -> f64 {
         let cold = self.options.cold.as_secs_f64();
         let left = cold - self.start.elapsed().as_secs_f64();
@@ -254,7 +264,8 @@
         answer
     }
 
-    fn sign(&self, mut answer: Answer, token: &str, received: &Bytes) -> Answer {
+    /// Adds the headers by which callers identify the run and check the request's body.
+    fn add_headers(&self, mut answer: Answer, token: &str, received: &Bytes) -> Answer {
         set(&mut answer, headers::TOKEN, token);
         set(&mut answer, headers::INSTANCE, &self.options.instance);
         set(&mut answer, headers::VERSION, &self.options.version);
@@ -263,23 +274,23 @@
     }
 }
 
-/// Counts a request while it lives.
-struct Counted<'a>(&'a Cell<usize>);
+/// Guard that counts a request as in flight until dropped.
+struct InFlight<'a>(&'a Cell<usize>);
 
-impl<'a> Counted<'a> {
+impl<'a> InFlight<'a> {
     fn new(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Reports a cancellation where the run is dropped before its end.
+/// Guard that reports a cancellation if a run is dropped before its end.
 struct Running<'a> {
     reporter: &'a Reporter,
     token: &'a str,
@@ -295,7 +306,8 @@
     }
 }
 
-async fn pause(time: Duration) {
+/// Sleeps for `time`, or spins if it is below [`SPIN_BELOW`].
+async fn work_for(time: Duration) {
     if time >= SPIN_BELOW {
         return monoio::time::sleep(time).await;
     }
@@ -305,7 +317,7 @@
     }
 }
 
-/// The output of `work`, or `None` where `deadline` comes first.
+/// Returns the output of `work`, or `None` if `deadline` passes first.
 async fn within<F: std::future::Future>(deadline: Option<Instant>, work: F) -> Option<F::Output> {
     match deadline {
         None => Some(work.await),
--- a/crates/sycamore-bench/src/stand_in/upstream/slots.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/slots.rs
@@ -1,4 +1,4 @@
-//! Slots and the queue before them.
+//! Slots of an upstream with a bounded queue of waiting requests.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -11,10 +11,11 @@
 struct State {
     taken: usize,
     next_ticket: u64,
+    /// Tickets and wakers of waiting requests, the longest waiting first.
     queue: VecDeque<(u64, Waker)>,
 }
 
-/// A number of slots with a bounded first-come queue.
+/// Fixed number of slots with a bounded first-come, first-served queue.
 #[derive(Clone)]
 pub struct Slots {
     slots: usize,
@@ -22,38 +23,40 @@
     state: Rc<RefCell<State>>,
 }
 
-/// A slot taken; free again when dropped.
+/// Taken slot; released when dropped.
 pub struct Slot {
     slots: Slots,
 }
 
-/// Neither a slot nor a place in the queue is free.
+/// Error of a request that found neither a free slot nor a free place in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Full;
 
-/// Waits for a slot.
+/// Future that waits for a slot.
 pub struct Take {
     slots: Slots,
+    /// Place in the queue; `None` before the first poll and after a slot was taken.
     ticket: Option<u64>,
 }
 
 impl Slots {
-    /// `slots` slots with a queue of `queue` places.
+    /// Creates `slots` free slots with a queue of `queue` places.
     pub fn new(slots: usize, queue: usize) -> Self {
         Self { slots, queue, state: Rc::default() }
     }
 
-    /// Slots taken.
+    /// Returns the number of taken slots.
     pub fn taken(&self) -> usize {
         self.state.borrow().taken
     }
 
-    /// Requests that wait.
+    /// Returns the number of requests that wait for a slot.
     pub fn queued(&self) -> usize {
         self.state.borrow().queue.len()
     }
 
-    /// Takes a slot, waiting in the queue where none is free. Dropping the future gives up.
+    /// Takes a slot, and waits in the queue if none is free; the future fails with [`Full`] if the queue
+    /// is full. Dropping the future leaves the queue.
     pub fn take(&self) -> Take {
         Take { slots: self.clone(), ticket: None }
     }
