--- a/crates/sycamore-bench/src/http/client.rs
+++ b/crates/sycamore-bench/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The client side: a pool of kept connections per address.
+//! HTTP client with a pool of idle connections per address.
 
 use crate::{BenchError, Result};
 use bytes::Bytes;
@@ -19,93 +19,94 @@
 use std::pin::{pin, Pin};
 use std::time::Duration;
 
-/// One whole answer.
+/// Complete answer to a request.
 #[derive(Debug, Clone)]
 pub struct Exchange {
-    /// Its status.
+    /// Status of the answer.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers of the answer.
     pub headers: HeaderMap,
-    /// Its body, whole.
+    /// Complete body of the answer.
     pub body: Bytes,
 }
 
 impl Exchange {
-    /// The header `name` as text.
+    /// Returns the value of the header `name`; `None` if it is absent or no ASCII text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// The body read as JSON.
+    /// Deserializes the body from JSON.
     ///
     /// # Errors
-    /// [`BenchError::Http`] where it is none.
+    /// [`BenchError::Http`] with status and body if the body is not JSON of the type `T`.
     pub fn json<T: serde::de::DeserializeOwned>(&self) -> Result<T> {
         serde_json::from_slice(&self.body).change_context_lazy(|| {
             let shown = String::from_utf8_lossy(&self.body);
-            BenchError::Http(format!("status {}, no such JSON: {shown}", self.status))
+            BenchError::Http(format!("status {}, unexpected body: {shown}", self.status))
         })
     }
 }
 
-/// How far an exchange came that brought no whole answer.
+/// Failure of a request that got no complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Wire {
-    /// No connection: nothing was sent.
+    /// No connection could be opened, so that nothing was sent.
     NotConnected,
-    /// The connection broke before an answer's head.
+    /// The connection broke before the head of an answer arrived.
     NoAnswer,
-    /// The answer's head came, its body broke off.
+    /// The connection broke after the answer's head, within its body.
     Cut,
 }
 
 type Stream = MonoioIo<TcpStreamPoll>;
 
-/// A connection, which makes progress only while it is polled: during an exchange, and once before
-/// the next to see whether the peer has closed it.
-struct Kept {
+/// Pooled connection. It makes progress only while it is polled: during a request, and once before
+/// the next, to detect whether the peer has closed it.
+struct PooledConnection {
     sender: SendRequest<Full<Bytes>>,
     connection: Pin<Box<Connection<Stream, Full<Bytes>>>>,
 }
 
-/// A client that keeps connections to many addresses.
+/// Client that pools connections to any number of addresses.
 #[derive(Default)]
 pub struct Client {
-    idle: RefCell<HashMap<SocketAddr, Vec<Kept>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<PooledConnection>>>,
 }
 
 impl Client {
-    /// Sends `req` to `addr` and reads the whole answer. Dropping the future closes the connection.
+    /// Sends `req` to `addr` and reads the complete answer. Dropping the future closes the connection.
     ///
     /// # Errors
-    /// How far the exchange came.
+    /// The stage at which the request failed.
     pub async fn send(
         &self,
         addr: SocketAddr,
         req: Request<Full<Bytes>>,
     ) -> std::result::Result<Exchange, Wire> {
-        let mut kept = self.kept(addr).await?;
-        let exchange = kept.exchange(req).await?;
-        if kept.is_open() {
-            self.idle.borrow_mut().entry(addr).or_default().push(kept);
+        let mut connection = self.connection(addr).await?;
+        let exchange = connection.exchange(req).await?;
+        if connection.is_open() {
+            self.idle.borrow_mut().entry(addr).or_default().push(connection);
         }
         Ok(exchange)
     }
 
-    async fn kept(&self, addr: SocketAddr) -> std::result::Result<Kept, Wire> {
+    /// Returns an open idle connection to `addr`, or opens one.
+    async fn connection(&self, addr: SocketAddr) -> std::result::Result<PooledConnection, Wire> {
         loop {
             let idle = self.idle.borrow_mut().get_mut(&addr).and_then(Vec::pop);
-            let Some(mut kept) = idle else {
+            let Some(mut connection) = idle else {
                 return connect(addr).await.map_err(|_| Wire::NotConnected);
             };
-            if kept.is_open() {
-                return Ok(kept);
+            if connection.is_open() {
+                return Ok(connection);
             }
         }
     }
 }
 
-impl Kept {
+impl PooledConnection {
     async fn exchange(&mut self, req: Request<Full<Bytes>>) -> std::result::Result<Exchange, Wire> {
         let work = async {
             let response = self.sender.send_request(req).await.map_err(|_| Wire::NoAnswer)?;
@@ -113,7 +114,7 @@
         };
         match select(pin!(work), &mut self.connection).await {
             Either::Left((result, _)) => result,
-            // The connection has ended; what it brought is with the request already.
+            // The connection has ended; the bytes that it received were passed to the request already.
             Either::Right((_, work)) => work.await,
         }
     }
@@ -130,18 +131,18 @@
     Ok(Exchange { status: head.status, headers: head.headers, body })
 }
 
-async fn connect(addr: SocketAddr) -> std::io::Result<Kept> {
+async fn connect(addr: SocketAddr) -> std::io::Result<PooledConnection> {
     let stream = TcpStream::connect(addr).await?;
     stream.set_nodelay(true)?;
     let io = MonoioIo::new(stream.into_poll_io()?);
     let (sender, connection) = handshake(io).await.map_err(std::io::Error::other)?;
-    Ok(Kept { sender, connection: Box::pin(connection) })
+    Ok(PooledConnection { sender, connection: Box::pin(connection) })
 }
 
-/// One request over a connection of its own, bounded by `timeout`.
+/// Sends a request over a new connection and reads the complete answer.
 ///
 /// # Errors
-/// [`BenchError::Http`] where no whole answer came in time.
+/// [`BenchError::Http`] if no complete answer arrives within `timeout`.
 pub async fn request(
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
@@ -151,7 +152,9 @@
     let client = Client::default();
     match monoio::time::timeout(timeout, client.send(addr, req)).await {
         Ok(Ok(exchange)) => Ok(exchange),
-        Ok(Err(wire)) => Err(Report::new(BenchError::Http(format!("{what}: {wire:?}")))),
-        Err(_) => Err(Report::new(BenchError::Http(format!("{what}: no answer in {timeout:?}")))),
+        Ok(Err(error)) => Err(Report::new(BenchError::Http(format!("{what}: {error:?}")))),
+        Err(_) => {
+            Err(Report::new(BenchError::Http(format!("{what}: no answer within {timeout:?}"))))
+        }
     }
 }
--- a/crates/sycamore-bench/src/http/mod.rs
+++ b/crates/sycamore-bench/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 for stand-ins and load: hyper on monoio's epoll driver.
+//! HTTP/1.1 client and server for stand-ins and load: hyper on monoio's epoll driver.
 
 mod client;
 mod server;
@@ -8,10 +8,10 @@
 
 use monoio::{LegacyDriver, Runtime, RuntimeBuilder};
 
-/// Runs `future` to its end on a loop of its own, on this thread.
+/// Runs `future` to completion on a new event loop on this thread.
 ///
 /// # Panics
-/// Where the operating system refuses an epoll instance.
+/// Panics if the operating system refuses an epoll instance.
 pub fn run<F: std::future::Future>(future: F) -> F::Output {
     runtime().block_on(future)
 }
@@ -20,5 +20,5 @@
     RuntimeBuilder::<LegacyDriver>::new()
         .enable_timer()
         .build()
-        .expect("the operating system grants an epoll instance")
+        .expect("the operating system provides an epoll instance")
 }
--- a/crates/sycamore-bench/src/http/server.rs
+++ b/crates/sycamore-bench/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server side: one loop that accepts connections and serves them.
+//! HTTP server: a loop that accepts connections and serves them concurrently.
 
 use crate::{BenchError, Result};
 use bytes::Bytes;
@@ -19,40 +19,40 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Time between a failed accept and the next.
-const ACCEPT_RETRY: Duration = Duration::from_millis(10);
+/// Pause after a failed accept, before the next attempt.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Body of every answer of a stand-in.
+/// Answer of a stand-in.
 pub type Answer = Response<Full<Bytes>>;
 
-/// Asks the server to break the connection instead of answering.
+/// Error by which a handler lets the server break the connection instead of answering.
 #[derive(Debug, Clone, Copy)]
 pub struct Break;
 
 impl fmt::Display for Break {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("connection broken on purpose")
+        f.write_str("connection closed without an answer, as the handler requested")
     }
 }
 
 impl std::error::Error for Break {}
 
-/// What a handler gives for a request.
+/// Result of a handler for a request.
 pub type Reply = std::result::Result<Answer, Break>;
 
-/// Backlog of connections that wait to be accepted.
+/// Largest number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
-/// A bound listener.
+/// Listening TCP socket.
 pub struct Listener {
     inner: TcpListener,
 }
 
 impl Listener {
-    /// Binds `addr`.
+    /// Listens on `addr`.
     ///
     /// # Errors
-    /// [`BenchError::Io`] where the address is taken.
+    /// [`BenchError::Io`] if `addr` can't be bound, for instance because it is in use.
     pub fn bind(addr: SocketAddr) -> Result<Self> {
         let opts = ListenerOpts::new().reuse_port(false).reuse_addr(true).backlog(BACKLOG);
         let inner = TcpListener::bind_with_config(addr, &opts)
@@ -60,31 +60,37 @@
         Ok(Self { inner })
     }
 
-    /// The address bound.
+    /// Returns the address that the listener is bound to.
     ///
     /// # Errors
-    /// [`BenchError::Io`] where the socket is broken.
+    /// [`BenchError::Io`] if the operating system can't tell it.
     pub fn addr(&self) -> Result<SocketAddr> {
-        self.inner.local_addr().change_context_lazy(|| BenchError::Io("local address".into()))
+        self.inner
+            .local_addr()
+            .change_context_lazy(|| BenchError::Io("get the listener's address".into()))
     }
 
-    /// Accepts one connection.
+    /// Accepts a connection.
     ///
     /// # Errors
-    /// [`BenchError::Io`] where the socket is broken.
+    /// [`BenchError::Io`] if the operating system reports a failure, for instance because no file
+    /// descriptor is free.
     pub async fn accept(&self) -> Result<TcpStream> {
-        let (stream, _) =
-            self.inner.accept().await.change_context_lazy(|| BenchError::Io("accept".into()))?;
+        let (stream, _) = self
+            .inner
+            .accept()
+            .await
+            .change_context_lazy(|| BenchError::Io("accept a connection".into()))?;
         Ok(stream)
     }
 }
 
-/// Limits of a server.
+/// Options of a server.
 #[derive(Debug, Clone)]
 pub struct ServeOptions {
-    /// Connections served at the same time; more are closed at once.
+    /// Largest number of connections served at the same time; further ones are closed at once.
     pub connections: usize,
-    /// Time that opening a connection takes.
+    /// Delay between the accept of a connection and its first read.
     pub open: Duration,
 }
 
@@ -94,7 +100,7 @@
     }
 }
 
-/// Serves `listener` with `handler` until the future is dropped; connections end with it.
+/// Serves connections of `listener` with `handler` until the future is dropped, which closes them.
 pub async fn serve<H, F>(listener: &Listener, options: &ServeOptions, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone,
@@ -119,7 +125,7 @@
                 connections.push(serve_connection(stream, options.open, handler.clone()));
             }
             Ok(_) => {}
-            Err(_) => monoio::time::sleep(ACCEPT_RETRY).await,
+            Err(_) => monoio::time::sleep(ACCEPT_RETRY_INTERVAL).await,
         }
     }
 }
@@ -135,20 +141,20 @@
     }
     let Ok(stream) = stream.into_poll_io() else { return };
     let service = service_fn(handler);
-    // A broken connection is the peer's affair; the emulated process goes on.
+    // An error concerns this connection only; the server goes on.
     let _ = hyper::server::conn::http1::Builder::new()
         .serve_connection(MonoioIo::new(stream), service)
         .await;
 }
 
-/// An answer with a plain text body.
+/// Creates an answer with a plain text body.
 pub fn text(status: StatusCode, body: impl Into<Bytes>) -> Answer {
     let mut answer = Response::new(Full::new(body.into()));
     *answer.status_mut() = status;
     answer
 }
 
-/// An answer with `value` as its JSON body.
+/// Creates an answer with `value` as its JSON body.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Answer {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut answer = text(status, body);
