--- a/crates/sycamore-bench/src/http/client.rs
+++ b/crates/sycamore-bench/src/http/client.rs
@@ -50,7 +50,7 @@
 
 /// Failure of a request that got no complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wire {
+pub enum ExchangeError {
     /// No connection could be opened, so that nothing was sent.
     NotConnected,
     /// The connection broke before the head of an answer arrived.
@@ -83,7 +83,7 @@
         &self,
         addr: SocketAddr,
         req: Request<Full<Bytes>>,
-    ) -> std::result::Result<Exchange, Wire> {
+    ) -> std::result::Result<Exchange, ExchangeError> {
         let mut connection = self.connection(addr).await?;
         let exchange = connection.exchange(req).await?;
         if connection.is_open() {
@@ -93,11 +93,14 @@
     }
 
     /// Returns an open idle connection to `addr`, or opens one.
-    async fn connection(&self, addr: SocketAddr) -> std::result::Result<PooledConnection, Wire> {
+    async fn connection(
+        &self,
+        addr: SocketAddr,
+    ) -> std::result::Result<PooledConnection, ExchangeError> {
         loop {
             let idle = self.idle.borrow_mut().get_mut(&addr).and_then(Vec::pop);
             let Some(mut connection) = idle else {
-                return connect(addr).await.map_err(|_| Wire::NotConnected);
+                return connect(addr).await.map_err(|_| ExchangeError::NotConnected);
             };
             if connection.is_open() {
                 return Ok(connection);
@@ -107,9 +110,13 @@
 }
 
 impl PooledConnection {
-    async fn exchange(&mut self, req: Request<Full<Bytes>>) -> std::result::Result<Exchange, Wire> {
+    async fn exchange(
+        &mut self,
+        req: Request<Full<Bytes>>,
+    ) -> std::result::Result<Exchange, ExchangeError> {
         let work = async {
-            let response = self.sender.send_request(req).await.map_err(|_| Wire::NoAnswer)?;
+            let response =
+                self.sender.send_request(req).await.map_err(|_| ExchangeError::NoAnswer)?;
             collect(response).await
         };
         match select(pin!(work), &mut self.connection).await {
@@ -125,9 +132,9 @@
     }
 }
 
-async fn collect(response: Response<Incoming>) -> std::result::Result<Exchange, Wire> {
+async fn collect(response: Response<Incoming>) -> std::result::Result<Exchange, ExchangeError> {
     let (head, body) = response.into_parts();
-    let body = body.collect().await.map_err(|_| Wire::Cut)?.to_bytes();
+    let body = body.collect().await.map_err(|_| ExchangeError::Cut)?.to_bytes();
     Ok(Exchange { status: head.status, headers: head.headers, body })
 }
 
--- a/crates/sycamore-bench/src/http/mod.rs
+++ b/crates/sycamore-bench/src/http/mod.rs
@@ -3,7 +3,7 @@
 mod client;
 mod server;
 
-pub use client::{request, Client, Exchange, Wire};
+pub use client::{request, Client, Exchange, ExchangeError};
 pub use server::{json, serve, text, Answer, Break, Listener, Reply, ServeOptions};
 
 use monoio::{LegacyDriver, Runtime, RuntimeBuilder};
--- a/crates/sycamore-bench/src/load/answer.rs
+++ b/crates/sycamore-bench/src/load/answer.rs
@@ -1,6 +1,6 @@
 //! Classifies the answers to calls.
 
-use crate::http::{Exchange, Wire};
+use crate::http::{Exchange, ExchangeError};
 use crate::stand_in::upstream::{checksum, headers};
 use http::StatusCode;
 use std::time::Duration;
@@ -69,12 +69,12 @@
 }
 
 /// Returns the outcome of an attempt of the call `token`, whose body had the checksum `sent_sum`.
-pub fn classify(token: &str, sent_sum: &str, result: &Result<Exchange, Wire>) -> Ended {
+pub fn classify(token: &str, sent_sum: &str, result: &Result<Exchange, ExchangeError>) -> Ended {
     let exchange = match result {
         Ok(exchange) => exchange,
-        Err(Wire::NotConnected) => return Ended::NotConnected,
-        Err(Wire::NoAnswer) => return Ended::NoAnswer,
-        Err(Wire::Cut) => return Ended::Cut,
+        Err(ExchangeError::NotConnected) => return Ended::NotConnected,
+        Err(ExchangeError::NoAnswer) => return Ended::NoAnswer,
+        Err(ExchangeError::Cut) => return Ended::Cut,
     };
     match exchange.header(shift::OUTCOME) {
         Some("not-run") => return Ended::Refused,
