--- a/crates/sycamore-bench/src/proxy/link.rs
+++ b/crates/sycamore-bench/src/proxy/link.rs
@@ -1,87 +1,92 @@
-//! The state of one disturbed way between processes.
+//! State of a network link that the proxy can disturb.
 
-use super::LOOK;
+use super::POLL_INTERVAL;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// A direction.
+/// Direction of traffic over a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Way {
-    /// From the one who connects to the one who listens.
+    /// From the connecting to the listening process.
     There,
-    /// Answers.
+    /// From the listening to the connecting process.
     Back,
 }
 
-/// What happens to all that passes, for as long as it is set.
+/// Disturbance of all traffic over a link, for as long as it is set.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// Traffic passes undisturbed.
     #[default]
     None,
-    /// It arrives so much later.
+    /// Traffic is delayed by this much in both directions.
     Delay(Duration),
-    /// Nothing passes one way; connections stay open, and what was sent on them arrives afterwards.
+    /// Traffic in one direction is blocked. Connections stay open, and their bytes arrive once the
+    /// fault ends; datagrams are lost.
     Cut(Way),
-    /// Nothing passes either way.
+    /// Traffic in both directions is blocked, as with [`Fault::Cut`].
     Silence,
 }
 
-/// One disturbed way, shared by the harness and the proxy.
+/// Network link whose traffic the harness disturbs; shared by the harness and the proxy's thread.
 #[derive(Debug, Default)]
 pub struct Link {
     fault: Mutex<Fault>,
+    /// Number of connections opened so far, which is also the number of the next connection.
     opened: AtomicU64,
-    /// Connections with a lower number are reset.
+    /// Bound below which connections are to be reset.
     reset: AtomicU64,
-    /// Connections with a lower number never carry anything again.
+    /// Bound below which connections stay silent for good.
     muted: AtomicU64,
 }
 
 impl Link {
-    /// Sets what happens from now on.
+    /// Sets the link's fault, which replaces the previous one.
     pub fn set(&self, fault: Fault) {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
-    /// Resets the connections that are open.
+    /// Resets the connections that are open now.
     pub fn reset(&self) {
         self.reset.store(self.opened.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
-    /// Silences the connections that are open for good; new ones work.
+    /// Blocks the traffic of the connections that are open now for good, without closing them; later
+    /// connections work.
     pub fn mute(&self) {
         self.muted.store(self.opened.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
+    /// Returns the present fault.
     pub(super) fn fault(&self) -> Fault {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The number of a new connection.
-    pub(super) fn open(&self) -> u64 {
+    /// Assigns a number to a new connection.
+    pub(super) fn next_number(&self) -> u64 {
         self.opened.fetch_add(1, Ordering::SeqCst)
     }
 
-    /// Waits until connection `number` is reset.
-    pub(super) async fn is_reset(&self, number: u64) {
+    /// Waits until connection `number` is to be reset.
+    pub(super) async fn wait_for_reset(&self, number: u64) {
         while number >= self.reset.load(Ordering::SeqCst) {
-            monoio::time::sleep(LOOK).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until something may pass `way` on connection `number`.
-    pub(super) async fn pass(&self, number: u64, way: Way) {
+    /// Waits until a chunk may pass in the direction `way` on connection `number`: for the delay, and
+    /// for the end of a fault that blocks it.
+    pub(super) async fn wait_to_pass(&self, number: u64, way: Way) {
         if let Fault::Delay(time) = self.fault() {
             monoio::time::sleep(time).await;
         }
         while self.muted.load(Ordering::SeqCst) > number || self.blocks(way) {
-            monoio::time::sleep(LOOK).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Whether nothing passes `way` now.
+    /// Returns whether the present fault blocks traffic in the direction `way`.
     pub(super) fn blocks(&self, way: Way) -> bool {
         match self.fault() {
             Fault::None | Fault::Delay(_) => false,
--- a/crates/sycamore-bench/src/proxy/mod.rs
+++ b/crates/sycamore-bench/src/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! A proxy between the processes of a fleet, on a thread of its own, that disturbs what passes.
+//! Fault-injecting TCP and UDP proxy between the processes of a fleet, on its own thread.
 
 mod link;
 mod tcp;
@@ -18,32 +18,32 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Time between two looks at what the harness has asked for.
-const LOOK: Duration = Duration::from_millis(10);
+/// Time between two checks of requests from the harness: faults, resets and the proxy's end.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a route carries.
+/// Transport protocol of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Transport {
-    /// Connections.
+    /// TCP connections.
     Tcp,
-    /// Datagrams.
+    /// UDP datagrams.
     Udp,
 }
 
-/// One address that the proxy stands in for.
+/// Forwarding rule of the proxy from an address to a target.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// What it carries.
+    /// Transport protocol.
     pub transport: Transport,
-    /// Where the proxy listens.
+    /// Address at which the proxy listens.
     pub listen: SocketAddr,
-    /// Where it passes on to.
+    /// Address that the proxy forwards to.
     pub target: SocketAddr,
-    /// How it is disturbed.
+    /// Link that holds the faults of this route; routes may share one.
     pub link: Arc<Link>,
 }
 
-/// A running proxy; it ends when dropped.
+/// Running proxy; dropping it ends its thread and closes all connections through it.
 #[derive(Debug)]
 pub struct Proxy {
     stop: Arc<AtomicBool>,
@@ -51,33 +51,33 @@
 }
 
 impl Proxy {
-    /// Listens at all `routes`.
+    /// Starts a proxy that forwards along all `routes`.
     ///
     /// # Errors
-    /// [`BenchError::Io`] where an address can't be listened at.
+    /// [`BenchError::Io`] if the proxy can't listen at one of the routes' addresses.
     pub fn start(routes: Vec<Route>) -> Result<Self> {
         let stop = Arc::new(AtomicBool::new(false));
         let (stopped, (tx, rx)) = (stop.clone(), std::sync::mpsc::channel());
         let thread = std::thread::spawn(move || {
             crate::http::run(async {
                 let opened: std::io::Result<Vec<_>> = routes.into_iter().map(serve).collect();
-                let (serving, told) = match opened {
+                let (serving, result) = match opened {
                     Ok(serving) => (serving, Ok(())),
                     Err(error) => (Vec::new(), Err(error)),
                 };
-                // The harness has gone where nobody hears it.
-                let _ = tx.send(told);
+                // The send fails only if the harness has panicked and dropped the receiver.
+                let _ = tx.send(result);
                 let stop = async {
                     while !stopped.load(Ordering::Relaxed) {
-                        monoio::time::sleep(LOOK).await;
+                        monoio::time::sleep(POLL_INTERVAL).await;
                     }
                 };
                 select(pin!(join_all(serving)), pin!(stop)).await;
             });
         });
         let proxy = Self { stop, thread: Some(thread) };
-        let told = rx.recv().unwrap_or_else(|_| Err(std::io::ErrorKind::BrokenPipe.into()));
-        told.change_context_lazy(|| BenchError::Io("listen for the proxy".into()))?;
+        let result = rx.recv().unwrap_or_else(|_| Err(std::io::ErrorKind::BrokenPipe.into()));
+        result.change_context_lazy(|| BenchError::Io("listen at the proxy's addresses".into()))?;
         Ok(proxy)
     }
 }
@@ -91,6 +91,7 @@
     }
 }
 
+/// Listens at the route's address and returns the future that forwards its traffic.
 fn serve(route: Route) -> std::io::Result<LocalBoxFuture<'static, ()>> {
     Ok(match route.transport {
         Transport::Tcp => Box::pin(tcp::serve(tcp::listen(&route)?, route)),
@@ -98,16 +99,16 @@
     })
 }
 
-/// What one listener has under way.
+/// Concurrent tasks of a listener, such as its open connections.
 type Tasks = FuturesUnordered<LocalBoxFuture<'static, ()>>;
 
-/// Waits for `what` while `tasks` go on.
-async fn beside<T>(tasks: &mut Tasks, what: impl Future<Output = T>) -> T {
-    let go_on = async {
+/// Returns the output of `future`, and drives `tasks` until then.
+async fn drive_until<T>(tasks: &mut Tasks, future: impl Future<Output = T>) -> T {
+    let drive = async {
         while tasks.next().await.is_some() {}
         std::future::pending::<T>().await
     };
-    match select(pin!(what), pin!(go_on)).await {
-        Either::Left((done, _)) | Either::Right((done, _)) => done,
+    match select(pin!(future), pin!(drive)).await {
+        Either::Left((output, _)) | Either::Right((output, _)) => output,
     }
 }
--- a/crates/sycamore-bench/src/proxy/tcp.rs
+++ b/crates/sycamore-bench/src/proxy/tcp.rs
@@ -1,6 +1,6 @@
-//! Connections through the proxy.
+//! Forwards TCP connections through the proxy.
 
-use super::{beside, Link, Route, Tasks, Way};
+use super::{drive_until, Link, Route, Tasks, Way};
 use futures::future::{join, select};
 use monoio::buf::IoBuf;
 use monoio::io::{AsyncReadRent, AsyncWriteRent, AsyncWriteRentExt, Splitable};
@@ -11,18 +11,18 @@
 use std::os::fd::AsRawFd;
 use std::pin::pin;
 
-/// Bytes passed on at once.
+/// Largest number of bytes forwarded at once.
 const CHUNK_BYTES: usize = 16 << 10;
 
 pub(super) fn listen(route: &Route) -> io::Result<TcpListener> {
     TcpListener::bind(route.listen)
 }
 
-/// Passes connections on for ever.
+/// Accepts and forwards connections until the future is dropped.
 pub(super) async fn serve(listener: TcpListener, route: Route) {
     let mut open = Tasks::new();
     loop {
-        if let Ok((stream, _)) = beside(&mut open, listener.accept()).await {
+        if let Ok((stream, _)) = drive_until(&mut open, listener.accept()).await {
             let route = route.clone();
             open.push(Box::pin(async move { connection(stream, &route).await }));
         }
@@ -31,24 +31,24 @@
 
 async fn connection(near: TcpStream, route: &Route) {
     let Ok(far) = TcpStream::connect(route.target).await else {
-        // Whoever connects learns it as from the process itself.
+        // A reset tells the connecting process about the failure as the target itself would.
         let _ = abort(&near);
         return;
     };
     let link = &*route.link;
-    let number = link.open();
+    let number = link.next_number();
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let (mut near, mut far) = (near.into_split(), far.into_split());
     let ended = join(
-        pump(link, number, Way::There, &mut near.0, &mut far.1),
-        pump(link, number, Way::Back, &mut far.0, &mut near.1),
+        forward(link, number, Way::There, &mut near.0, &mut far.1),
+        forward(link, number, Way::Back, &mut far.0, &mut near.1),
     );
     let reset = matches!(
-        select(pin!(ended), pin!(link.is_reset(number))).await,
+        select(pin!(ended), pin!(link.wait_for_reset(number))).await,
         futures::future::Either::Right(_)
     );
     if reset {
-        // Dropped as two halves, a connection would be closed in order.
+        // Dropping the two halves would close the connection in order instead of resetting it.
         for (read, write) in [near, far] {
             if let Ok(stream) = read.reunite(write) {
                 let _ = abort(&stream);
@@ -57,7 +57,8 @@
     }
 }
 
-async fn pump(
+/// Forwards one direction of connection `number` chunk by chunk, until `from` is closed or `to` fails.
+async fn forward(
     link: &Link,
     number: u64,
     way: Way,
@@ -68,7 +69,7 @@
     loop {
         let (read, chunk) = from.read(buf).await;
         let count = read.unwrap_or(0);
-        link.pass(number, way).await;
+        link.wait_to_pass(number, way).await;
         if count == 0 {
             break;
         }
@@ -81,8 +82,8 @@
     let _ = to.shutdown().await;
 }
 
-/// Has the close of `stream` reset the connection.
+/// Sets `stream` to be reset when it is closed.
 fn abort(stream: &TcpStream) -> io::Result<()> {
-    let at_once = libc::linger { l_onoff: 1, l_linger: 0 };
-    Ok(setsockopt(stream.as_raw_fd(), sockopt::Linger, &at_once)?)
+    let reset = libc::linger { l_onoff: 1, l_linger: 0 };
+    Ok(setsockopt(stream.as_raw_fd(), sockopt::Linger, &reset)?)
 }
