--- a/crates/sycamore-bench/src/proxy/link.rs
+++ b/crates/sycamore-bench/src/proxy/link.rs
@@ -7,11 +7,11 @@
 
 /// Direction of traffic over a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From the connecting to the listening process.
-    There,
+    Forward,
     /// From the listening to the connecting process.
-    Back,
+    Return,
 }
 
 /// Disturbance of all traffic over a link, for as long as it is set.
@@ -24,7 +24,7 @@
     Delay(Duration),
     /// Traffic in one direction is blocked. Connections stay open, and their bytes arrive once the
     /// fault ends; datagrams are lost.
-    Cut(Way),
+    Cut(Direction),
     /// Traffic in both directions is blocked, as with [`Fault::Cut`].
     Silence,
 }
@@ -75,22 +75,22 @@
         }
     }
 
-    /// Waits until a chunk may pass in the direction `way` on connection `number`: for the delay, and
+    /// Waits until a chunk may pass in `direction` on connection `number`: for the delay, and
     /// for the end of a fault that blocks it.
-    pub(super) async fn wait_to_pass(&self, number: u64, way: Way) {
+    pub(super) async fn wait_to_pass(&self, number: u64, direction: Direction) {
         if let Fault::Delay(time) = self.fault() {
             monoio::time::sleep(time).await;
         }
-        while self.muted.load(Ordering::SeqCst) > number || self.blocks(way) {
+        while self.muted.load(Ordering::SeqCst) > number || self.blocks(direction) {
             monoio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Returns whether the present fault blocks traffic in the direction `way`.
-    pub(super) fn blocks(&self, way: Way) -> bool {
+    /// Returns whether the present fault blocks traffic in `direction`.
+    pub(super) fn blocks(&self, direction: Direction) -> bool {
         match self.fault() {
             Fault::None | Fault::Delay(_) => false,
-            Fault::Cut(cut) => cut == way,
+            Fault::Cut(cut) => cut == direction,
             Fault::Silence => true,
         }
     }
--- a/crates/sycamore-bench/src/proxy/mod.rs
+++ b/crates/sycamore-bench/src/proxy/mod.rs
@@ -4,7 +4,7 @@
 mod tcp;
 mod udp;
 
-pub use link::{Fault, Link, Way};
+pub use link::{Direction, Fault, Link};
 
 use crate::{BenchError, Result};
 use error_stack::ResultExt;
--- a/crates/sycamore-bench/src/proxy/tcp.rs
+++ b/crates/sycamore-bench/src/proxy/tcp.rs
@@ -1,6 +1,6 @@
 //! Forwards TCP connections through the proxy.
 
-use super::{drive_until, Link, Route, Tasks, Way};
+use super::{drive_until, Direction, Link, Route, Tasks};
 use futures::future::{join, select};
 use monoio::buf::IoBuf;
 use monoio::io::{AsyncReadRent, AsyncWriteRent, AsyncWriteRentExt, Splitable};
@@ -40,8 +40,8 @@
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let (mut near, mut far) = (near.into_split(), far.into_split());
     let ended = join(
-        forward(link, number, Way::There, &mut near.0, &mut far.1),
-        forward(link, number, Way::Back, &mut far.0, &mut near.1),
+        forward(link, number, Direction::Forward, &mut near.0, &mut far.1),
+        forward(link, number, Direction::Return, &mut far.0, &mut near.1),
     );
     let reset = matches!(
         select(pin!(ended), pin!(link.wait_for_reset(number))).await,
@@ -61,7 +61,7 @@
 async fn forward(
     link: &Link,
     number: u64,
-    way: Way,
+    direction: Direction,
     from: &mut impl AsyncReadRent,
     to: &mut impl AsyncWriteRent,
 ) {
@@ -69,7 +69,7 @@
     loop {
         let (read, chunk) = from.read(buf).await;
         let count = read.unwrap_or(0);
-        link.wait_to_pass(number, way).await;
+        link.wait_to_pass(number, direction).await;
         if count == 0 {
             break;
         }
--- a/crates/sycamore-bench/src/proxy/udp.rs
+++ b/crates/sycamore-bench/src/proxy/udp.rs
@@ -1,6 +1,6 @@
 //! Forwards UDP datagrams through the proxy; datagrams that a fault blocks are lost.
 
-use super::{drive_until, Fault, Route, Tasks, Way};
+use super::{drive_until, Direction, Fault, Route, Tasks};
 use monoio::net::udp::UdpSocket;
 use std::collections::HashMap;
 use std::io;
@@ -39,7 +39,13 @@
                 far
             }
         };
-        tasks.push(Box::pin(forward(far, route.target, datagram, Way::There, route.clone())));
+        tasks.push(Box::pin(forward(
+            far,
+            route.target,
+            datagram,
+            Direction::Forward,
+            route.clone(),
+        )));
     }
 }
 
@@ -50,16 +56,22 @@
         let received = drive_until(&mut tasks, far.recv_from(vec![0; DATAGRAM_BYTES])).await;
         let (Ok((count, _)), mut datagram) = received else { continue };
         datagram.truncate(count);
-        tasks.push(Box::pin(forward(near.clone(), to, datagram, Way::Back, route.clone())));
+        tasks.push(Box::pin(forward(near.clone(), to, datagram, Direction::Return, route.clone())));
     }
 }
 
 /// Sends a datagram after the link's delay, or drops it if a fault blocks its direction then.
-async fn forward(socket: Rc<UdpSocket>, to: SocketAddr, datagram: Vec<u8>, way: Way, route: Route) {
+async fn forward(
+    socket: Rc<UdpSocket>,
+    to: SocketAddr,
+    datagram: Vec<u8>,
+    direction: Direction,
+    route: Route,
+) {
     if let Fault::Delay(time) = route.link.fault() {
         monoio::time::sleep(time).await;
     }
-    if !route.link.blocks(way) {
+    if !route.link.blocks(direction) {
         let _ = socket.send_to(datagram, to).await;
     }
 }
--- a/crates/sycamore-bench/src/soak/schedule.rs
+++ b/crates/sycamore-bench/src/soak/schedule.rs
@@ -1,7 +1,7 @@
 //! Draws the schedule of fault events from a seed.
 
 use crate::fleet::Hop;
-use crate::proxy::{Fault, Way};
+use crate::proxy::{Direction, Fault};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -110,8 +110,8 @@
         5 | 6 => Action::Pause(part),
         7 => Action::Skew(ms(rng, 0..MAX_SKEW_MS)),
         8 | 9 => Action::Disturb(hop, Fault::Delay(ms(rng, DELAY_MS))),
-        10 => Action::Disturb(hop, Fault::Cut(Way::There)),
-        11 => Action::Disturb(hop, Fault::Cut(Way::Back)),
+        10 => Action::Disturb(hop, Fault::Cut(Direction::Forward)),
+        11 => Action::Disturb(hop, Fault::Cut(Direction::Return)),
         12 => Action::Disturb(hop, Fault::Silence),
         13 => Action::Reset(hop),
         14 => Action::Mute(hop),
--- a/crates/sycamore-bench/tests/proxy.rs
+++ b/crates/sycamore-bench/tests/proxy.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use sycamore_bench::proxy::{Fault, Link, Proxy, Route, Transport, Way};
+use sycamore_bench::proxy::{Direction, Fault, Link, Proxy, Route, Transport};
 
 const SHORT: Duration = Duration::from_millis(150);
 const LONG: Duration = Duration::from_secs(5);
@@ -65,7 +65,7 @@
 
 #[test]
 fn what_is_cut_arrives_when_the_cut_ends() {
-    for fault in [Fault::Cut(Way::There), Fault::Cut(Way::Back), Fault::Silence] {
+    for fault in [Fault::Cut(Direction::Forward), Fault::Cut(Direction::Return), Fault::Silence] {
         let setup = setup();
         let mut stream = setup.open();
         assert_eq!(echoes(&mut stream, LONG), Ok(()));
@@ -120,7 +120,7 @@
         socket.recv(&mut [0; 4]).is_ok()
     };
     assert!(echoes(LONG));
-    setup.link.set(Fault::Cut(Way::Back));
+    setup.link.set(Fault::Cut(Direction::Return));
     assert!(!echoes(SHORT));
     setup.link.set(Fault::None);
     assert!(echoes(LONG));
