--- a/crates/sycamore-bench/src/fleet/guard.rs
+++ b/crates/sycamore-bench/src/fleet/guard.rs
@@ -13,7 +13,9 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
+/// Ids of the processes that were started and not waited for.
 static STARTED: Mutex<BTreeSet<i32>> = Mutex::new(BTreeSet::new());
+/// Installation of the signal handler, with the first started process.
 static HANDLER: Once = Once::new();
 
 /// Exit status after SIGINT or SIGTERM.
--- a/crates/sycamore-bench/src/fleet/watch.rs
+++ b/crates/sycamore-bench/src/fleet/watch.rs
@@ -8,8 +8,9 @@
 use std::time::Duration;
 
 /// Time between two queries of all nodes.
-const INTERVAL: Duration = Duration::from_millis(500);
+const QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Versions and violations seen so far.
 #[derive(Debug, Default)]
 struct Seen {
     /// Highest version seen on each instance.
@@ -30,7 +31,7 @@
     pub async fn run(&self, fleet: &Fleet) {
         loop {
             self.look(fleet).await;
-            monoio::time::sleep(INTERVAL).await;
+            monoio::time::sleep(QUERY_INTERVAL).await;
         }
     }
 
@@ -41,7 +42,7 @@
         let answers = futures::future::join_all(queries).await;
         for (name, answer) in names.iter().zip(answers) {
             if let Ok(config) = answer {
-                self.seen.borrow_mut().note(name, &config);
+                self.seen.borrow_mut().check(name, &config);
             }
         }
     }
@@ -59,7 +60,8 @@
 }
 
 impl Seen {
-    fn note(&mut self, instance: &str, config: &Value) {
+    /// Compares a configuration of `instance` with those seen before and counts its violations.
+    fn check(&mut self, instance: &str, config: &Value) {
         let version = config["version"].as_u64().unwrap_or(0);
         if version == 0 {
             return;
--- a/crates/sycamore-bench/src/soak/mod.rs
+++ b/crates/sycamore-bench/src/soak/mod.rs
@@ -172,7 +172,7 @@
     if let Err(report) = recovered.await {
         invariants.add_breach("not as before", report.current_context().to_string());
     }
-    eprintln!("fleet ready after {:.1} s", start.elapsed().as_secs_f64());
+    eprintln!("wait for recovery ended after {:.1} s", start.elapsed().as_secs_f64());
     for round in 1.. {
         let mut load = load_options(fleet, seed + round * 1_000_000, RECOVERY_LOAD_TIME)?;
         // A service whose nodes were all restarted can't recognize repeated keys yet.
--- a/crates/sycamore-bench/src/soak/play.rs
+++ b/crates/sycamore-bench/src/soak/play.rs
@@ -21,7 +21,7 @@
 pub struct Player<'a> {
     /// Fleet on which events are carried out.
     pub fleet: &'a Fleet,
-    /// Checker that is told of disturbances and violations.
+    /// Checker to which disturbances and violations are reported.
     pub invariants: &'a Invariants,
     /// Number of configurations that were sent so far, also without success.
     pub changes: &'a Cell<u64>,
@@ -59,6 +59,7 @@
         Ok(())
     }
 
+    /// Causes the fault or change of `event`.
     async fn begin(&self, event: &Event) -> Result<()> {
         let (fleet, instance) = (self.fleet, &*event.instance);
         match event.action {
--- a/crates/sycamore-bench/src/soak/promises.rs
+++ b/crates/sycamore-bench/src/soak/promises.rs
@@ -56,7 +56,7 @@
     }
 
     /// Records that the open connections of the callers of `addr` go silent for good: bytes sent on
-    /// them are discarded.
+    /// them never arrive.
     pub fn begin_silence(&self, addr: SocketAddr, now_us: u64) {
         let window = Window { from_us: now_us, to_us: None, silent: true };
         self.windows.borrow_mut().entry(addr).or_default().push(window);
--- a/crates/sycamore-bench/src/soak/schedule.rs
+++ b/crates/sycamore-bench/src/soak/schedule.rs
@@ -51,7 +51,7 @@
     Reset(Hop),
     /// Makes the open connections of a link silent for good.
     Mute(Hop),
-    /// Lets the platform answer every request with 503; it ends by itself.
+    /// Lets the platform answer every request with 503 for the event's duration.
     Outage,
     /// Delays the platform's answers by this much; ends the delay at the end.
     Slow(Duration),
