--- a/crates/sycamore-bench/src/demo/moves.rs
+++ b/crates/sycamore-bench/src/demo/moves.rs
@@ -134,7 +134,7 @@
     let start = Instant::now();
     let version = fleet.apply_resources("demo", resources).await?;
     let at_new = || async {
-        watch.look(fleet).await;
+        watch.check_once(fleet).await;
         watch.all_at(fleet, version)
     };
     fleet.wait_for(&format!("configuration {version} on every node"), at_new).await?;
--- a/crates/sycamore-bench/src/fleet/watch.rs
+++ b/crates/sycamore-bench/src/fleet/watch.rs
@@ -30,13 +30,13 @@
     /// Queries all nodes of `fleet` periodically until the future is dropped.
     pub async fn run(&self, fleet: &Fleet) {
         loop {
-            self.look(fleet).await;
+            self.check_once(fleet).await;
             monoio::time::sleep(QUERY_INTERVAL).await;
         }
     }
 
     /// Queries all running nodes once; skips nodes that don't answer or have no configuration yet.
-    pub async fn look(&self, fleet: &Fleet) {
+    pub async fn check_once(&self, fleet: &Fleet) {
         let names = fleet.running();
         let queries = names.iter().map(|name| fleet.query(name, "config"));
         let answers = futures::future::join_all(queries).await;
--- a/crates/sycamore-bench/src/measure/converge/run.rs
+++ b/crates/sycamore-bench/src/measure/converge/run.rs
@@ -103,7 +103,7 @@
         run.change(number).await?;
     }
     let end = Mark::set(fleet).await?;
-    watch.look(fleet).await;
+    watch.check_once(fleet).await;
     let mut violations = watch.violations();
     violations += observe::steps_back(fleet).await;
     Ok(run.report(&idle, &start, &end, violations))
