--- a/crates/sycamore-bench/src/load/tally.rs
+++ b/crates/sycamore-bench/src/load/tally.rs
@@ -134,7 +134,7 @@
 
     /// Describes each call that ran more than once although it must not: when it was sent to which
     /// address, and when it ran on which instance.
-    pub fn doubled(&self, ledger: &Ledger) -> Vec<String> {
+    pub fn describe_repeated_runs(&self, ledger: &Ledger) -> Vec<String> {
         let runs = ledger.runs();
         let by_token = self.by_token();
         let kept = by_token.iter().filter(|(_, records)| !records[0].idempotent);
--- a/crates/sycamore-bench/src/measure/calls.rs
+++ b/crates/sycamore-bench/src/measure/calls.rs
@@ -101,7 +101,7 @@
     eprintln!("probes through nodes: {probed}");
     eprintln!("probes past nodes: {direct}");
     let ledger = fleet.witness().ledger().await;
-    through.doubled(&ledger).iter().for_each(|story| eprintln!("{story}"));
+    through.describe_repeated_runs(&ledger).iter().for_each(|story| eprintln!("{story}"));
     let violations = through.violations(&ledger);
     print(&outcome(&options, fleet.names().len(), &through, &direct, &probed, violations));
     fleet.stop().await;
