--- a/crates/sycamore-bench/src/fleet/guard.rs
+++ b/crates/sycamore-bench/src/fleet/guard.rs
@@ -1,4 +1,5 @@
-//! Kills all started processes when this process is interrupted or a run exceeds its time limit.
+//! Kills all started processes when this process gets SIGINT or SIGTERM, or a run exceeds its time
+//! limit.
 //!
 //! A started process is also killed when its [`super::Process`] is dropped, for instance by a panic.
 //! Only SIGKILL of this process leaves started processes behind.
--- a/crates/sycamore-bench/src/stand_in/upstream/slots.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/slots.rs
@@ -55,7 +55,7 @@
         self.state.borrow().queue.len()
     }
 
-    /// Takes a slot, and waits in the queue if none is free; the future fails with [`Full`] if the queue
+    /// Takes a slot, and waits in the queue if none is free; the future fails with `Full` if the queue
     /// is full. Dropping the future leaves the queue.
     pub fn take(&self) -> Take {
         Take { slots: self.clone(), ticket: None }
