--- a/crates/sycamore-bench/src/soak/play.rs
+++ b/crates/sycamore-bench/src/soak/play.rs
@@ -1,7 +1,7 @@
-//! Playing events on a fleet.
+//! Carries out scheduled fault events on a fleet.
 
-use super::promises::Promises;
-use super::schedule::{Deed, Event, Part};
+use super::promises::Invariants;
+use super::schedule::{Action, Event, Part};
 use crate::fleet::{Fleet, Hop};
 use crate::proxy::Fault;
 use crate::stand_in::platform::Control;
@@ -12,159 +12,166 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Time that a node has to end by itself, which the users allow.
-const GRACE: Duration = Duration::from_secs(6);
-/// Time between two looks at whether it has.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time within which a node must exit after SIGTERM, as the users require.
+const SHUTDOWN_LIMIT: Duration = Duration::from_secs(6);
+/// Time between two checks of whether a node has exited.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Plays events on `fleet`.
+/// Carries out events on a fleet and records which callers they may affect.
 pub struct Player<'a> {
-    /// The fleet.
+    /// Fleet on which events are carried out.
     pub fleet: &'a Fleet,
-    /// What was promised.
-    pub promises: &'a Promises,
-    /// Configurations written so far.
+    /// Checker to which disturbances and violations are reported.
+    pub invariants: &'a Invariants,
+    /// Number of configurations that were sent so far, also without success.
     pub changes: &'a Cell<u64>,
-    /// The newest configuration that was acknowledged.
+    /// Highest version of a configuration that a node acknowledged; 0 before the first.
     pub newest: &'a Cell<u64>,
 }
 
 impl Player<'_> {
-    /// Plays `event` to its end.
+    /// Waits until `event` is due, begins it, and undoes it after its duration.
     ///
     /// # Errors
-    /// Where the fleet itself can't be used.
+    /// The error of a fleet operation that failed.
     pub async fn play(&self, event: &Event) -> Result<()> {
         monoio::time::sleep(event.at).await;
         eprintln!(
             "{:6.2} s {:?} {} for {:?}",
             event.at.as_secs_f64(),
-            event.deed,
+            event.action,
             event.instance,
             event.lasts
         );
         let addr = self.fleet.front_for_callers(&event.instance)?;
-        let disturbs = disturbs_callers(event.deed);
+        let disturbs = disturbs_callers(event.action);
         if disturbs {
-            self.promises.disturbed(addr, now_us());
+            self.invariants.begin_disturbance(addr, now_us());
         }
-        // Another event may start the process again meanwhile.
-        let told = self.fleet.node_pid(&event.instance).ok();
+        // Read before the event, because another event may restart the node meanwhile.
+        let node_pid = self.fleet.node_pid(&event.instance).ok();
         self.begin(event).await?;
         monoio::time::sleep(event.lasts).await;
-        self.end(event, told).await?;
+        self.end(event, node_pid).await?;
         if disturbs {
-            self.promises.calmed(addr, now_us());
+            self.invariants.end_disturbance(addr, now_us());
         }
         Ok(())
     }
 
+    /// Causes the fault or change of `event`.
     async fn begin(&self, event: &Event) -> Result<()> {
         let (fleet, instance) = (self.fleet, &*event.instance);
-        match event.deed {
-            Deed::Kill(Part::Node) => fleet.kill_node(instance)?,
-            Deed::Kill(Part::Upstream) => fleet.kill_upstream(instance)?,
-            Deed::Skew(ahead) => {
+        match event.action {
+            Action::Kill(Part::Node) => fleet.kill_node(instance)?,
+            Action::Kill(Part::Upstream) => fleet.kill_upstream(instance)?,
+            Action::Skew(ahead) => {
                 fleet.set_clock_ahead(instance, ahead)?;
                 fleet.kill_node(instance)?;
             }
-            Deed::Stop(part) => self.signal(instance, part, Signal::SIGTERM),
-            Deed::Pause(part) => self.signal(instance, part, Signal::SIGSTOP),
-            Deed::Disturb(hop, fault) => fleet.link(instance, hop)?.set(fault),
-            Deed::Reset(hop) => fleet.link(instance, hop)?.reset(),
-            Deed::Mute(hop) => {
+            Action::Stop(part) => self.signal(instance, part, Signal::SIGTERM),
+            Action::Pause(part) => self.signal(instance, part, Signal::SIGSTOP),
+            Action::Disturb(hop, fault) => fleet.link(instance, hop)?.set(fault),
+            Action::Reset(hop) => fleet.link(instance, hop)?.reset(),
+            Action::Mute(hop) => {
                 fleet.link(instance, hop)?.mute();
                 if hop == Hop::Caller {
                     let addr = fleet.front_for_callers(instance)?;
-                    self.promises.silenced(addr, now_us());
+                    self.invariants.begin_silence(addr, now_us());
                 }
             }
-            Deed::Outage => {
+            Action::Outage => {
                 let outage_ms = Some(event.lasts.as_millis() as u64);
-                self.control(Control { outage_ms, ..Control::default() }).await;
+                self.control_platform(Control { outage_ms, ..Control::default() }).await;
             }
-            Deed::Slow(time) => {
+            Action::Slow(time) => {
                 let slow_ms = Some(time.as_millis() as u64);
-                self.control(Control { slow_ms, ..Control::default() }).await;
+                self.control_platform(Control { slow_ms, ..Control::default() }).await;
             }
-            Deed::LoseAnswers(count) => {
-                self.control(Control { lost_answers: Some(count), ..Control::default() }).await;
+            Action::LoseAnswers(count) => {
+                self.control_platform(Control { lost_answers: Some(count), ..Control::default() })
+                    .await;
             }
-            Deed::Change => self.change().await,
+            Action::Change => self.change_config().await,
         }
         Ok(())
     }
 
-    /// `told` is the node's process when the event began.
-    async fn end(&self, event: &Event, told: Option<i32>) -> Result<()> {
+    /// Undoes `event`; `node_pid` is the id of the node's process when the event began.
+    async fn end(&self, event: &Event, node_pid: Option<i32>) -> Result<()> {
         let (fleet, instance) = (self.fleet, &*event.instance);
-        match event.deed {
-            Deed::Kill(Part::Node) | Deed::Skew(_) => fleet.start_node(instance),
-            Deed::Kill(Part::Upstream) => fleet.start_upstream(instance),
-            Deed::Stop(Part::Node) => {
-                if let Some(pid) = told {
-                    self.wait_end(instance, pid).await;
+        match event.action {
+            Action::Kill(Part::Node) | Action::Skew(_) => fleet.start_node(instance),
+            Action::Kill(Part::Upstream) => fleet.start_upstream(instance),
+            Action::Stop(Part::Node) => {
+                if let Some(pid) = node_pid {
+                    self.check_exit(instance, pid).await;
                 }
                 fleet.start_node(instance)
             }
-            Deed::Stop(Part::Upstream) => fleet.start_upstream(instance),
-            Deed::Pause(part) => {
+            Action::Stop(Part::Upstream) => fleet.start_upstream(instance),
+            Action::Pause(part) => {
                 self.signal(instance, part, Signal::SIGCONT);
                 Ok(())
             }
-            Deed::Disturb(hop, _) => {
+            Action::Disturb(hop, _) => {
                 fleet.link(instance, hop)?.set(Fault::None);
                 Ok(())
             }
-            Deed::Slow(_) => {
-                self.control(Control { slow_ms: Some(0), ..Control::default() }).await;
-                Ok(())
-            }
-            Deed::Reset(_) | Deed::Mute(_) | Deed::Outage | Deed::LoseAnswers(_) | Deed::Change => {
+            Action::Slow(_) => {
+                self.control_platform(Control { slow_ms: Some(0), ..Control::default() }).await;
                 Ok(())
             }
+            Action::Reset(_)
+            | Action::Mute(_)
+            | Action::Outage
+            | Action::LoseAnswers(_)
+            | Action::Change => Ok(()),
         }
     }
 
-    /// Events overlap: the process may be dead already.
+    /// Sends `signal` to a process of `instance`. A failure is only printed, because events overlap and
+    /// the process may be dead already.
     fn signal(&self, instance: &str, part: Part, signal: Signal) {
-        let told = match part {
+        let sent = match part {
             Part::Node => self.fleet.signal_node(instance, signal),
             Part::Upstream => self.fleet.signal_upstream(instance, signal),
         };
-        if let Err(report) = told {
+        if let Err(report) = sent {
             eprintln!("         {signal} {instance}: {}", report.current_context());
         }
     }
 
-    /// Waits for the node's process `pid`, which was told to stop. Time for which another event has
-    /// it paused does not count.
-    async fn wait_end(&self, instance: &str, pid: i32) {
+    /// Waits for the exit of the node's process `pid`, which got SIGTERM, and records a violation if
+    /// it takes longer than [`SHUTDOWN_LIMIT`]. Time during which another event keeps the process
+    /// paused does not count.
+    async fn check_exit(&self, instance: &str, pid: i32) {
         let mut ran = Duration::ZERO;
-        let is_there = || {
+        let is_running = || {
             let same = self.fleet.node_pid(instance).is_ok_and(|now| now == pid);
             same && self.fleet.node_ended(instance).is_none()
         };
-        while is_there() {
-            if ran > GRACE {
+        while is_running() {
+            if ran > SHUTDOWN_LIMIT {
                 let seen = format!("{instance}, process {pid}");
-                return self.promises.broken("node outlives its grace", seen);
+                return self.invariants.add_breach("node outlives its grace", seen);
             }
-            monoio::time::sleep(LOOK).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
             if !is_paused(pid) {
-                ran += LOOK;
+                ran += POLL_INTERVAL;
             }
         }
     }
 
-    async fn control(&self, control: Control) {
+    async fn control_platform(&self, control: Control) {
         if let Err(report) = self.fleet.control_platform(&control).await {
-            eprintln!("         platform: {}", report.current_context());
+            eprintln!("         control of the platform: {}", report.current_context());
         }
     }
 
-    /// Writes a configuration with one route more; an operator gives up where no node takes it.
-    async fn change(&self) {
+    /// Applies a configuration with one additional route. A failure is only printed: during faults no
+    /// node may be able to accept it.
+    async fn change_config(&self) {
         let number = self.changes.get() + 1;
         self.changes.set(number);
         let mut resources = self.fleet.options().deployment.resources();
@@ -175,27 +182,30 @@
         }));
         match self.fleet.apply_resources("soak", resources).await {
             Ok(version) => self.newest.set(self.newest.get().max(version)),
-            Err(report) => eprintln!("         change: {}", report.current_context()),
+            Err(report) => {
+                eprintln!("         configuration {number}: {}", report.current_context());
+            }
         }
     }
 }
 
-/// Whether the process was stopped by a signal, as the kernel tells.
+/// Returns whether the process `pid` is stopped by a signal, according to `/proc/{pid}/stat`.
 fn is_paused(pid: i32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // The state follows the name, which ends with the last parenthesis.
+    // The state follows the command name, which ends with the last parenthesis of the line.
     stat.rsplit_once(") ").is_some_and(|(_, rest)| rest.starts_with('T'))
 }
 
-/// Whether callers of the instance may feel an event there, however the node is built.
-fn disturbs_callers(deed: Deed) -> bool {
-    match deed {
-        Deed::Kill(Part::Node) | Deed::Stop(Part::Node) | Deed::Pause(Part::Node) => true,
-        Deed::Skew(_) => true,
-        Deed::Disturb(hop, _) | Deed::Reset(hop) | Deed::Mute(hop) => hop == Hop::Caller,
-        Deed::Kill(Part::Upstream) | Deed::Stop(Part::Upstream) | Deed::Pause(Part::Upstream) => {
-            false
-        }
-        Deed::Outage | Deed::Slow(_) | Deed::LoseAnswers(_) | Deed::Change => false,
+/// Returns whether an event may delay or break calls sent to the instance's node, whatever the node
+/// does about it.
+fn disturbs_callers(action: Action) -> bool {
+    match action {
+        Action::Kill(Part::Node) | Action::Stop(Part::Node) | Action::Pause(Part::Node) => true,
+        Action::Skew(_) => true,
+        Action::Disturb(hop, _) | Action::Reset(hop) | Action::Mute(hop) => hop == Hop::Caller,
+        Action::Kill(Part::Upstream)
+        | Action::Stop(Part::Upstream)
+        | Action::Pause(Part::Upstream) => false,
+        Action::Outage | Action::Slow(_) | Action::LoseAnswers(_) | Action::Change => false,
     }
 }
