--- a/crates/sycamore-bench/src/measure/calls.rs
+++ b/crates/sycamore-bench/src/measure/calls.rs
@@ -1,5 +1,5 @@
-//! What a call gains and loses by the nodes: time added against a direct call of the same run, and
-//! the promises, with faults during the load.
+//! The `calls` measurement: latency that nodes add compared with direct calls of the same run, and
+//! broken guarantees to callers, with optional faults during the load.
 
 use super::{kinds, print, Violations};
 use crate::fleet::{Deployment, Fleet, Options as FleetOptions};
@@ -13,41 +13,44 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Part of the rate that goes past the nodes for comparison.
+/// Rate of the direct calls that bypass the nodes, as a fraction of the mixed load's rate.
 const DIRECT_PART: f64 = 0.25;
-/// Time that an instance stays frozen.
+/// Time that a node stays stopped by SIGSTOP for the `freeze` fault.
 const FROZEN: Duration = Duration::from_secs(2);
-/// Time after which every node is out of doubt about idempotency keys, with [`SETTINGS`].
+/// Wait before the load, with [`SETTINGS`]: until `key_memory` and `view_lag` have passed, nodes
+/// can't know of earlier runs and answer calls with idempotency keys as perhaps run.
 const SETTLE: Duration = Duration::from_secs(4);
-/// Short memories of keys, so that a run does not begin in doubt.
+/// Node settings as section, key, value: a short `key_memory` and `view_lag` keep [`SETTLE`] short.
 const SETTINGS: [(&str, &str, &str); 2] =
     [("calls", "key_memory", "2s"), ("calls", "view_lag", "1s")];
 
-/// Options of the measurement.
+/// Options of `measure calls`.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seed of everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Calls a second.
+    /// Calls a second of the mixed load.
     pub rate: f64,
-    /// Seconds of load.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// Faults during the load, `kill` and `freeze`.
+    /// Faults during the load: a comma-separated list of `kill` and `freeze`, empty for none.
     pub fault: String,
 }
 
-/// The parser of its options.
+/// Parses the options of `measure calls`.
 pub(super) fn parser() -> impl Parser<Options> {
     let seed = crate::cli::seed();
-    let rate = long("rate").help("Calls a second").argument("R").fallback(200.0);
-    let seconds = long("seconds").help("Seconds of load").argument("N").fallback(6);
+    let rate = long("rate").help("Calls a second of the mixed load").argument("R").fallback(200.0);
+    let seconds =
+        long("seconds").help("Duration of the load, in seconds").argument("N").fallback(6);
     let fault = long("fault")
-        .help("Faults during the load, a comma list of kill and freeze")
+        .help("Faults during the load, comma-separated: kill, freeze")
         .argument("LIST")
         .fallback(String::new());
     construct!(Options { seed, rate, seconds, fault })
 }
 
+/// JSON result of `measure calls`.
 #[derive(Debug, Serialize)]
 struct Outcome {
     seed: u64,
@@ -66,10 +69,10 @@
     violations: Violations,
 }
 
-/// Runs it.
+/// Runs `measure calls` and prints its result.
 pub(super) async fn run(options: Options) -> Result<()> {
     let deployment = Deployment::zlatna_klupa();
-    let mixed = kinds(&deployment);
+    let mixed_kinds = kinds(&deployment);
     let settings = SETTINGS.map(|(s, k, v)| (s.to_owned(), k.to_owned(), v.to_owned())).into();
     let fleet = Fleet::start(FleetOptions {
         deployment,
@@ -80,50 +83,64 @@
     .await?;
     fleet.wait_members().await?;
     monoio::time::sleep(SETTLE).await;
-    let through = load(&options, options.rate, super::callers_of(&fleet)?, mixed);
+    let mixed = load_options(&options, options.rate, super::callers_of(&fleet)?, mixed_kinds);
     let direct_rate = options.rate * DIRECT_PART;
-    // Tokens are drawn from the seed: two loads with the same one would pass for repeats.
+    // Call tokens derive from the seed: two loads with one seed would count as repeats of the same
+    // calls.
     let seeded = |add: u64| Options { seed: options.seed + add, ..options.clone() };
-    let direct = load(&seeded(1_000), direct_rate, services_of(&fleet)?, vec![probe()]);
-    let probed = load(&seeded(2_000), direct_rate, super::callers_of(&fleet)?, vec![probe()]);
+    let direct = load_options(
+        &seeded(1_000),
+        direct_rate,
+        upstream_targets(&fleet)?,
+        vec![zero_work_lookup()],
+    );
+    let proxied = load_options(
+        &seeded(2_000),
+        direct_rate,
+        super::callers_of(&fleet)?,
+        vec![zero_work_lookup()],
+    );
     let loads = async {
-        let faults = faults(&fleet, &options);
-        let loads = (load::run(&through), load::run(&direct), load::run(&probed));
+        let faults = inject_faults(&fleet, &options);
+        let loads = (load::run(&mixed), load::run(&direct), load::run(&proxied));
         futures::join!(loads.0, loads.1, loads.2, faults)
     };
-    let Either::Left(((through, direct, probed, faulted), _)) =
+    let Either::Left(((mixed, direct, proxied, faulted), _)) =
         select(pin!(loads), pin!(fleet.tend())).await
     else {
-        return Err(Report::new(BenchError::Unmet("upstreams are tended to the end".into())));
+        return Err(Report::new(BenchError::Unmet(
+            "the fleet upkeep ended before the load did".into(),
+        )));
     };
     faulted?;
-    eprintln!("through nodes: {through}");
-    eprintln!("probes through nodes: {probed}");
-    eprintln!("probes past nodes: {direct}");
+    eprintln!("mixed calls through nodes: {mixed}");
+    eprintln!("zero-work lookups through nodes: {proxied}");
+    eprintln!("zero-work lookups sent directly: {direct}");
     let ledger = fleet.witness().ledger().await;
-    through.doubled(&ledger).iter().for_each(|story| eprintln!("{story}"));
-    let violations = through.violations(&ledger);
-    print(&outcome(&options, fleet.names().len(), &through, &direct, &probed, violations));
+    mixed.doubled(&ledger).iter().for_each(|trace| eprintln!("{trace}"));
+    let violations = mixed.violations(&ledger);
+    print(&summarize(&options, fleet.names().len(), &mixed, &direct, &proxied, violations));
     fleet.stop().await;
     Ok(())
 }
 
-fn outcome(
+fn summarize(
     options: &Options,
     nodes: usize,
-    through: &Tally,
+    mixed: &Tally,
     direct: &Tally,
-    probed: &Tally,
+    proxied: &Tally,
     violations: Violations,
 ) -> Outcome {
-    let named = [Ended::Ok, Ended::Refused, Ended::Unknown].map(|ended| through.count(ended));
+    let named = [Ended::Ok, Ended::Refused, Ended::Unknown].map(|ended| mixed.count(ended));
     let [ok, refused, unknown] = named;
-    let calls = through.records().len();
-    let (direct_p50_ms, direct_p99_ms) = (quantile_ms(direct, 0.5), quantile_ms(direct, 0.99));
+    let calls = mixed.records().len();
+    let (direct_p50_ms, direct_p99_ms) =
+        (ok_latency_quantile_ms(direct, 0.5), ok_latency_quantile_ms(direct, 0.99));
     Outcome {
         seed: options.seed,
         nodes,
-        seconds: through.time().as_secs_f64(),
+        seconds: mixed.time().as_secs_f64(),
         fault: options.fault.clone(),
         calls,
         ok,
@@ -132,20 +149,20 @@
         other: calls - ok - refused - unknown,
         direct_p50_ms,
         direct_p99_ms,
-        added_p50_ms: quantile_ms(probed, 0.5) - direct_p50_ms,
-        added_p99_ms: quantile_ms(probed, 0.99) - direct_p99_ms,
+        added_p50_ms: ok_latency_quantile_ms(proxied, 0.5) - direct_p50_ms,
+        added_p99_ms: ok_latency_quantile_ms(proxied, 0.99) - direct_p99_ms,
         violations,
     }
 }
 
-/// The quantile `q` of the calls that succeeded, in milliseconds.
-pub(super) fn quantile_ms(tally: &Tally, q: f64) -> f64 {
+/// Computes the quantile `q` of the successful calls' latencies in `tally`, in milliseconds.
+pub(super) fn ok_latency_quantile_ms(tally: &Tally, q: f64) -> f64 {
     let ok = tally.records().iter().filter(|record| record.ended == Ended::Ok);
-    quantile_of(ok, q)
+    latency_quantile_ms(ok, q)
 }
 
-/// The quantile `q` of the latencies of `records`, in milliseconds; 0 where there are none.
-pub(super) fn quantile_of<'a>(records: impl Iterator<Item = &'a Record>, q: f64) -> f64 {
+/// Computes the quantile `q` of the latencies of `records`, in milliseconds; 0 for no records.
+pub(super) fn latency_quantile_ms<'a>(records: impl Iterator<Item = &'a Record>, q: f64) -> f64 {
     let mut latencies: Vec<Duration> = records.map(|record| record.latency).collect();
     latencies.sort_unstable();
     let at = (latencies.len() as f64 * q) as usize;
@@ -153,25 +170,31 @@
     latency.map_or(0.0, |latency| latency.as_secs_f64() * 1_000.0)
 }
 
-fn load(options: &Options, rate: f64, targets: Vec<Target>, kinds: Vec<CallKind>) -> load::Options {
+fn load_options(
+    options: &Options,
+    rate: f64,
+    targets: Vec<Target>,
+    kinds: Vec<CallKind>,
+) -> load::Options {
     let time = Duration::from_secs(options.seconds);
     load::Options { seed: options.seed, rate, time, targets, kinds, ..Default::default() }
 }
 
-/// A lookup that takes no work, so that the way is all that is timed.
-fn probe() -> CallKind {
+/// Returns a lookup that takes the upstream no time, so that only the network path is timed.
+fn zero_work_lookup() -> CallKind {
     CallKind { work_us: Some(0), ..CallKind::lookup("counter") }
 }
 
-/// The upstreams themselves, as one target.
-fn services_of(fleet: &Fleet) -> Result<Vec<Target>> {
+/// Returns the service addresses of the `counter` upstreams as one target, bypassing the nodes.
+fn upstream_targets(fleet: &Fleet) -> Result<Vec<Target>> {
     let names = fleet.of_service("counter").into_iter();
     let addrs = names.map(|name| Ok(fleet.addrs(&name)?.service)).collect::<Result<_>>()?;
     Ok(vec![Target { prefix: "/".into(), addrs }])
 }
 
-/// Lets one instance of the second service meet each fault, a third of the load in.
-async fn faults(fleet: &Fleet, options: &Options) -> Result<()> {
+/// Injects each fault of `options` into an `intake` instance of its own, one after the other, after
+/// a third of the load's duration.
+async fn inject_faults(fleet: &Fleet, options: &Options) -> Result<()> {
     let victims = fleet.of_service("intake");
     monoio::time::sleep(Duration::from_secs(options.seconds) / 3).await;
     for (fault, victim) in options.fault.split(',').filter(|f| !f.is_empty()).zip(&victims) {
@@ -185,7 +208,11 @@
                 monoio::time::sleep(FROZEN).await;
                 fleet.signal_node(victim, Signal::SIGCONT)?;
             }
-            other => return Err(Report::new(BenchError::Option(format!("--fault {other}")))),
+            other => {
+                return Err(Report::new(BenchError::Option(format!(
+                    "--fault: unknown fault {other:?}, expected kill or freeze"
+                ))))
+            }
         }
     }
     Ok(())
--- a/crates/sycamore-bench/src/measure/mod.rs
+++ b/crates/sycamore-bench/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Measurements: each a command that prints a summary on standard error and one JSON object as the
-//! last line of standard output.
+//! Measurement commands: each prints a summary on standard error and one JSON object as the last
+//! line of standard output.
 
 mod calls;
 mod converge;
@@ -17,56 +17,60 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Longest time that a measurement may take before it is ended.
+/// Longest time that a measurement may run before its processes are killed.
 const LIMIT: Duration = Duration::from_secs(600);
 
 /// A measurement with its options.
 #[derive(Debug, Clone)]
 pub enum Command {
-    /// Time added to calls, and the promises under faults.
+    /// Latency that nodes add to calls, and broken guarantees to callers under faults.
     Calls(calls::Options),
-    /// Load above capacity.
+    /// Goodput, attempts and refusal latency at a multiple of capacity.
     Overload(overload::Options),
-    /// Convergence of configurations.
+    /// Time from a configuration command to the configuration's use on every node.
     Converge(converge::Options),
-    /// Membership of a fleet.
+    /// Membership: time to full membership, idle traffic, fault detection time.
     Members(members::Options),
-    /// Mixed calls along the whole path.
+    /// Mixed calls through nodes and upstreams, without faults.
     Path(path::Options),
-    /// Release moves.
+    /// Release moves on simulated time.
     Moves(moves::Options),
 }
 
-/// The parser of all measurements.
+/// Parses the `measure` subcommands.
 pub fn parser() -> impl Parser<Command> {
     let path = path::parser()
         .to_options()
-        .descr("Mixed calls along the whole path, at a deployment's size of today.")
+        .descr("Mixed calls through nodes and upstreams of the zlatna-klupa deployment at its current size.")
         .command("path")
         .map(Command::Path);
     let moves = moves::parser()
         .to_options()
-        .descr("Release moves: good ones done, bad ones taken back.")
+        .descr(
+            "Release moves on simulated time: share of good ones done and of bad ones taken back.",
+        )
         .command("moves")
         .map(Command::Moves);
     let converge = converge::parser()
         .to_options()
-        .descr("From an operator's command to in force on every node.")
+        .descr("Time from a configuration command until every node uses the configuration.")
         .command("converge")
         .map(Command::Converge);
     let members = members::parser()
         .to_options()
-        .descr("Membership of a fleet: time to meet, traffic at rest, time to notice faults.")
+        .descr(
+            "Membership: time until all nodes know all others, idle traffic, fault detection time.",
+        )
         .command("members")
         .map(Command::Members);
     let calls = calls::parser()
         .to_options()
-        .descr("Time that nodes add to calls, and the promises to callers, with faults.")
+        .descr("Latency that nodes add to calls, and broken guarantees to callers, under faults.")
         .command("calls")
         .map(Command::Calls);
     let overload = overload::parser()
         .to_options()
-        .descr("Goodput and attempts above capacity, beside blind retries.")
+        .descr("Goodput, attempts and refusal latency above capacity, compared with blind retries.")
         .command("overload")
         .map(Command::Overload);
     construct!([calls, overload, converge, members, path, moves])
@@ -75,7 +79,7 @@
 /// Runs the measurement `command`.
 ///
 /// # Errors
-/// Where it could not be carried out; a bad figure is a result.
+/// The measurement could not be carried out. A figure out of bounds is a result, not an error.
 pub async fn run(command: Command) -> Result<()> {
     let _limit = crate::fleet::guard::limit_run(LIMIT);
     match command {
@@ -88,10 +92,10 @@
     }
 }
 
-/// Prints `result` as the last line of standard output.
+/// Prints `result` as one line of JSON on standard output.
 pub fn print(result: &impl Serialize) {
     match serde_json::to_string(result) {
         Ok(line) => println!("{line}"),
-        Err(error) => eprintln!("the result can't be written as JSON: {error}"),
+        Err(error) => eprintln!("result can't be written as JSON: {error}"),
     }
 }
--- a/crates/sycamore-bench/src/measure/overload.rs
+++ b/crates/sycamore-bench/src/measure/overload.rs
@@ -1,6 +1,6 @@
-//! Load above capacity: goodput, attempts for each call, and how fast refusals come.
+//! The `overload` measurement: goodput, attempts per call and refusal latency above capacity.
 
-use super::calls::quantile_of;
+use super::calls::latency_quantile_ms;
 use super::{print, Violations};
 use crate::fleet::{Deployment, Fleet, Options as FleetOptions, ServiceSpec};
 use crate::load::{self, CallKind, Ended, Pick, Target};
@@ -10,45 +10,50 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Upstreams of each service.
+/// Upstreams per service.
 const UPSTREAMS: usize = 2;
-/// Slots of each upstream.
+/// Concurrent calls per upstream.
 const SLOTS: u16 = 4;
-/// Mean time that a call takes at each level.
+/// Mean time that a call takes at each service level, without its calls onward.
 const WORK: Duration = Duration::from_millis(40);
-/// Time left for a call, in milliseconds.
+/// Timeout of each call, in milliseconds.
 const TIMEOUT_MS: u64 = 2_000;
-/// Blind retries of the baseline.
+/// Retries per failed call under the `baseline` policy, whatever the failure.
 const BASELINE_RETRIES: u32 = 3;
 
-/// Options of the measurement.
+/// Options of `measure overload`.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seed of everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Offered load as a multiple of capacity.
+    /// Offered load, as a multiple of capacity.
     pub load: f64,
-    /// Levels of services that a call goes through.
+    /// Services that each call passes through, one calling the next; at least 1.
     pub depth: usize,
-    /// Seconds of load.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// `node`, or `baseline`: round robin past the nodes with three blind retries.
+    /// `node`, or `baseline`: callers bypass the nodes, pick upstreams round robin and retry a failed
+    /// call up to three times.
     pub policy: String,
 }
 
-/// The parser of its options.
+/// Parses the options of `measure overload`.
 pub(super) fn parser() -> impl Parser<Options> {
     let seed = crate::cli::seed();
-    let load = long("load").help("Offered load, in capacities").argument("X").fallback(2.0);
-    let depth = long("depth").help("Levels of services").argument("D").fallback(1);
-    let seconds = long("seconds").help("Seconds of load").argument("N").fallback(6);
+    let load =
+        long("load").help("Offered load, as a multiple of capacity").argument("X").fallback(2.0);
+    let depth =
+        long("depth").help("Services that each call passes through").argument("D").fallback(1);
+    let seconds =
+        long("seconds").help("Duration of the load, in seconds").argument("N").fallback(6);
     let policy = long("policy")
-        .help("node, or baseline: round robin and three retries")
+        .help("node, or baseline: round robin past the nodes and three retries")
         .argument("P")
         .fallback("node".to_owned());
     construct!(Options { seed, load, depth, seconds, policy })
 }
 
+/// JSON result of `measure overload`.
 #[derive(Debug, Serialize)]
 struct Outcome {
     seed: u64,
@@ -69,19 +74,19 @@
     violations: Violations,
 }
 
-/// Runs it.
+/// Runs `measure overload` and prints its result.
 pub(super) async fn run(options: Options) -> Result<()> {
     let names: Vec<String> = (0..options.depth.max(1)).map(|i| format!("level-{i}")).collect();
     let upstream = upstream::Options { slots: SLOTS, work: WORK, ..Default::default() };
     let fleet = Fleet::start(FleetOptions {
-        deployment: deployment(&names),
+        deployment: overload_deployment(&names),
         seed: options.seed,
         upstream,
         ..Default::default()
     })
     .await?;
     fleet.wait_members().await?;
-    // A call holds its slot at the first level for as long as all levels take.
+    // A call occupies its slot at the first level until all levels have answered.
     let slots = (UPSTREAMS * usize::from(SLOTS)) as f64;
     let capacity_per_s = slots / (WORK.as_secs_f64() * names.len() as f64);
     let baseline = options.policy == "baseline";
@@ -92,7 +97,7 @@
         targets: targets(&fleet, &names[0], baseline)?,
         pick: if baseline { Pick::RoundRobin } else { Pick::Random },
         retries: if baseline { BASELINE_RETRIES } else { 0 },
-        kinds: vec![kind(&names)],
+        kinds: vec![chained_lookup(&names)],
         ..Default::default()
     };
     let tally = load::run(&load).await;
@@ -101,7 +106,7 @@
     let violations = tally.violations(&ledger);
     let sent: u32 = tally.records().iter().map(|record| record.attempts).sum();
     let at_callers = f64::from(sent) / tally.records().len().max(1) as f64;
-    let at_nodes = attempts(&fleet).await;
+    let at_nodes = attempts_per_call(&fleet).await;
     let refused = tally.records().iter().filter(|record| record.ended == Ended::Refused);
     print(&Outcome {
         seed: options.seed,
@@ -114,7 +119,7 @@
             / (capacity_per_s * options.load.min(1.0) * options.seconds as f64),
         attempts_per_call: if baseline { at_callers } else { at_nodes.0 },
         attempts_per_call_max: if baseline { at_callers } else { at_nodes.1 },
-        refusal_p99_ms: quantile_of(refused, 0.99),
+        refusal_p99_ms: latency_quantile_ms(refused, 0.99),
         calls: tally.records().len(),
         ok: tally.count(Ended::Ok),
         refused: tally.count(Ended::Refused),
@@ -126,7 +131,7 @@
     Ok(())
 }
 
-fn deployment(names: &[String]) -> Deployment {
+fn overload_deployment(names: &[String]) -> Deployment {
     let services =
         names.iter().map(|name| ServiceSpec { name: name.clone(), upstreams: UPSTREAMS });
     Deployment {
@@ -137,8 +142,8 @@
     }
 }
 
-/// A lookup that goes through every service in turn.
-fn kind(names: &[String]) -> CallKind {
+/// Returns a lookup that passes through every service of `names` in turn.
+fn chained_lookup(names: &[String]) -> CallKind {
     let onward = names[1..].iter().map(|name| format!("/{name}/status/onward"));
     let timeout_ms = Some(TIMEOUT_MS);
     CallKind { onward: onward.collect(), timeout_ms, ..CallKind::lookup(&names[0]) }
@@ -153,8 +158,9 @@
     Ok(vec![Target { prefix: "/".into(), addrs }])
 }
 
-/// Attempts for each call over all nodes, and at the node where they are most.
-async fn attempts(fleet: &Fleet) -> (f64, f64) {
+/// Reads the attempts per call from the nodes' metrics: the mean over all nodes, and the highest of
+/// any node. Nodes that don't answer are left out.
+async fn attempts_per_call(fleet: &Fleet) -> (f64, f64) {
     let (mut firsts, mut retries, mut most) = (0.0, 0.0, 1.0_f64);
     for name in fleet.running() {
         let Ok(metrics) = fleet.metrics(&name).await else { continue };
--- a/crates/sycamore-bench/src/measure/path.rs
+++ b/crates/sycamore-bench/src/measure/path.rs
@@ -1,4 +1,5 @@
-//! Mixed calls along the whole path: the shortest example of a measurement.
+//! The `path` measurement: mixed calls through nodes and upstreams, without faults. The simplest
+//! measurement, and a template for new ones.
 
 use super::{print, Violations};
 use crate::fleet::{self, Deployment, Fleet, Options as FleetOptions, KEY_MEMORY, SHORT_VIEW_LAG};
@@ -10,25 +11,27 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Options of the measurement.
+/// Options of `measure path`.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seed of everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Calls a second.
+    /// Calls a second over all nodes.
     pub rate: f64,
-    /// Seconds of load.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
 }
 
-/// The parser of its options.
+/// Parses the options of `measure path`.
 pub(super) fn parser() -> impl Parser<Options> {
     let seed = crate::cli::seed();
-    let rate = long("rate").help("Calls a second").argument("R").fallback(200.0);
-    let seconds = long("seconds").help("Seconds of load").argument("N").fallback(5);
+    let rate = long("rate").help("Calls a second over all nodes").argument("R").fallback(200.0);
+    let seconds =
+        long("seconds").help("Duration of the load, in seconds").argument("N").fallback(5);
     construct!(Options { seed, rate, seconds })
 }
 
+/// JSON result of `measure path`.
 #[derive(Debug, Serialize)]
 struct Outcome {
     seed: u64,
@@ -45,7 +48,7 @@
     violations: Violations,
 }
 
-/// Runs it.
+/// Runs `measure path` and prints its result.
 pub(super) async fn run(options: Options) -> Result<()> {
     let deployment = Deployment::zlatna_klupa();
     let kinds = kinds(&deployment);
@@ -69,7 +72,7 @@
         Either::Left((tally, _)) => tally,
         Either::Right(_) => load::Tally::default(),
     };
-    eprintln!("{tally}; generator late by {:?} at most", tally.lag());
+    eprintln!("{tally}; load generator at most {:?} behind schedule", tally.lag());
     for (failure, count) in tally.failures().iter().take(10) {
         eprintln!("{count:>6} x {failure}");
     }
@@ -97,16 +100,17 @@
     Ok(())
 }
 
-/// The caller listeners of all running nodes, as one target.
+/// Returns the caller listeners of all running nodes of `fleet` as one load target.
 ///
 /// # Errors
-/// Never for instances of `fleet` itself.
+/// An instance has no addresses; can't occur for running instances of `fleet`.
 pub fn callers_of(fleet: &Fleet) -> Result<Vec<Target>> {
     let addrs = fleet.running().into_iter().map(|name| Ok(fleet.addrs(&name)?.caller));
     Ok(vec![Target { prefix: "/".into(), addrs: addrs.collect::<Result<_>>()? }])
 }
 
-/// Lookups, bookings, repeats, photos and chains over all services of `deployment`.
+/// Returns the kinds of a mixed load on all services of `deployment`: lookups, bookings, bookings
+/// repeated with an idempotency key, lookups that call the next service, and photos.
 pub fn kinds(deployment: &Deployment) -> Vec<CallKind> {
     let names: Vec<&str> = deployment.services.iter().map(|s| s.name.as_str()).collect();
     let mut kinds = Vec::new();
--- a/crates/sycamore-bench/src/measure/violations.rs
+++ b/crates/sycamore-bench/src/measure/violations.rs
@@ -1,33 +1,33 @@
-//! Counts of broken promises.
+//! Counts of guarantee violations that a run has observed.
 
 use serde::Serialize;
 use std::ops::AddAssign;
 
-/// Counts of broken promises, which must all be 0.
+/// Counts of violated guarantees; every count of a correct run is 0.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Violations {
-    /// A node's configuration got an older version.
+    /// A node replaced its configuration by an older version.
     pub config_went_back: usize,
-    /// A route pointed at a resource that its node did not have.
+    /// A node used a route whose service its configuration lacks.
     pub dangling_route: usize,
-    /// A configuration was in force in part.
+    /// A configuration was applied in part: nodes had different manifests of one version.
     pub partial_apply: usize,
     /// A non-idempotent request, or one with an idempotency key, ran more than once.
     pub ran_twice: usize,
-    /// A request refused as not run did run.
+    /// A request that was refused as not run had run.
     pub false_not_run: usize,
-    /// A caller got an answer that was not its own.
+    /// A caller got the answer to another call.
     pub wrong_answer: usize,
-    /// An answer passed for whole and was not, or a graceful shutdown cut one.
+    /// A truncated answer looked complete, or a graceful shutdown cut an answer off.
     pub cut_answer: usize,
-    /// A leaving upstream got work later than allowed.
+    /// A draining upstream got a request later than the run allows.
     pub work_after_drain: usize,
-    /// A bad version got work later than allowed after its verdict.
+    /// A version found bad got a request later after the verdict than the run allows.
     pub work_after_verdict: usize,
 }
 
 impl Violations {
-    /// All of them.
+    /// Sums all counts.
     pub fn total(&self) -> usize {
         self.config_went_back
             + self.dangling_route
