--- a/crates/sycamore-bench/src/measure/converge/baseline.rs
+++ b/crates/sycamore-bench/src/measure/converge/baseline.rs
@@ -1,4 +1,5 @@
-//! The baseline: every node polls the whole configuration from the platform, without a cache.
+//! The `baseline` policy of `measure converge`: every emulated node polls the whole configuration
+//! from the platform, without a cache.
 
 use super::report::Report;
 use super::{change, Options};
@@ -18,27 +19,32 @@
 use std::pin::pin;
 use std::time::{Duration, Instant};
 
-/// Mean time between two polls of a node.
+/// Mean time between two polls of one node; each poll draws 50% to 150% of it.
 const INTERVAL: Duration = Duration::from_secs(2);
-/// Longest wait for a change.
+/// Longest wait until every node has polled a change.
 const LIMIT: Duration = Duration::from_secs(20);
-/// Bytes of the heads of a request and its answer, as the client and the stand-in send them.
+/// Size of a request's and its answer's HTTP head together, without the path, as the bench's client
+/// and the platform's stand-in send them.
 const HEAD_BYTES: usize = 180;
-/// Key of the head row.
+/// Key of the row that names the current configuration.
 const HEAD: &str = "config/head";
 
-/// What the pollers share.
+/// Emulated polling nodes: their target and what they have counted.
 struct Pollers {
     platform: SocketAddr,
-    /// The version in force at each node, and when each version came into force there.
+    /// Configuration version that each node polled last, by the node's index.
     versions: RefCell<Vec<u64>>,
+    /// Times from a change to a node's first poll that returns it, in milliseconds.
     times: RefCell<Vec<f64>>,
+    /// Version of the latest change, and when it was made.
     changed: Cell<Option<(u64, Instant)>>,
+    /// Bytes sent and received by all nodes.
     bytes: Cell<usize>,
+    /// Requests sent by all nodes.
     reads: Cell<u64>,
 }
 
-/// Runs the baseline against the platform's stand-in.
+/// Runs the changes of `options` against the platform's stand-in and `options.nodes` polling nodes.
 pub(super) async fn run(options: &Options) -> Result<Report> {
     let deployment = Deployment::scaled(options.nodes);
     let fleet = Fleet::prepare(FleetOptions { deployment, ..FleetOptions::default() }).await?;
@@ -60,15 +66,15 @@
 }
 
 async fn measure(options: &Options, fleet: &Fleet, pollers: &Pollers) -> Result<Report> {
-    accept(fleet, 0).await?;
+    apply_change(fleet, 0).await?;
     monoio::time::sleep(INTERVAL).await;
     let (began, bytes, reads) = (Instant::now(), pollers.bytes.get(), pollers.reads.get());
     monoio::time::sleep(Duration::from_secs(options.idle)).await;
     let idle = (pollers.bytes.get() - bytes) as f64 / began.elapsed().as_secs_f64();
     for number in 1..=options.changes {
         pollers.changed.set(Some((number as u64 + 1, Instant::now())));
-        accept(fleet, number).await?;
-        pollers.wait(number as u64 + 1).await;
+        apply_change(fleet, number).await?;
+        pollers.wait_for_version(number as u64 + 1).await;
     }
     let seconds = began.elapsed().as_secs_f64();
     let total = (pollers.bytes.get() - bytes) as f64;
@@ -84,8 +90,8 @@
     Ok(report)
 }
 
-/// Stores change `number` and makes it current.
-async fn accept(fleet: &Fleet, number: usize) -> Result<()> {
+/// Stores the configuration after `number` changes as an object and writes it into the head row.
+async fn apply_change(fleet: &Fleet, number: usize) -> Result<()> {
     let resources = change::resources(&fleet.options().deployment, number);
     let key = format!("config/{number}");
     let body = Value::from(resources).to_string();
@@ -101,25 +107,27 @@
     let answer = crate::fleet::operator(addr, method, path, body).await?;
     match answer.status.is_success() {
         true => Ok(()),
-        false => Err(BenchError::Http(format!("{path}: status {}", answer.status)).into()),
+        false => {
+            Err(BenchError::Http(format!("{path}: status {}, expected 2xx", answer.status)).into())
+        }
     }
 }
 
 impl Pollers {
-    /// Polls as node `node` for ever.
+    /// Polls as the node with index `node` until the future is dropped.
     async fn poll(&self, node: usize, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed ^ (node as u64) << 32);
         let client = Client::default();
         loop {
             monoio::time::sleep(INTERVAL.mul_f64(rng.random_range(0.5..1.5))).await;
-            // A failed poll is made up for by the next one.
-            if let Ok(version) = self.read(&client).await {
-                self.note(node, version);
+            // A failed poll is ignored: the next one reads the same state.
+            if let Ok(version) = self.poll_version(&client).await {
+                self.record_version(node, version);
             }
         }
     }
 
-    async fn read(&self, client: &Client) -> Result<u64> {
+    async fn poll_version(&self, client: &Client) -> Result<u64> {
         let row: Value = self.get(client, &format!("/table/row/{HEAD}")).await?;
         let object = row["value"]["object"].as_str().unwrap_or_default().to_owned();
         let _: Value = self.get(client, &format!("/objects/{object}")).await?;
@@ -139,7 +147,7 @@
         }
     }
 
-    fn note(&self, node: usize, version: u64) {
+    fn record_version(&self, node: usize, version: u64) {
         let before = std::mem::replace(&mut self.versions.borrow_mut()[node], version);
         match self.changed.get() {
             Some((changed, at)) if version >= changed && before < changed => {
@@ -149,13 +157,14 @@
         }
     }
 
-    /// Waits until every node has `version`; those that don't in time count as never.
-    async fn wait(&self, version: u64) {
+    /// Waits until every node has polled `version`; records an infinite time for each node that has not
+    /// within [`LIMIT`].
+    async fn wait_for_version(&self, version: u64) {
         let end = Instant::now() + LIMIT;
-        let late = || self.versions.borrow().iter().filter(|v| **v < version).count();
-        while late() > 0 && Instant::now() < end {
+        let lagging = || self.versions.borrow().iter().filter(|v| **v < version).count();
+        while lagging() > 0 && Instant::now() < end {
             monoio::time::sleep(Duration::from_millis(20)).await;
         }
-        self.times.borrow_mut().extend(std::iter::repeat_n(f64::INFINITY, late()));
+        self.times.borrow_mut().extend(std::iter::repeat_n(f64::INFINITY, lagging()));
     }
 }
--- a/crates/sycamore-bench/src/measure/converge/bytes.rs
+++ b/crates/sycamore-bench/src/measure/converge/bytes.rs
@@ -1,19 +1,19 @@
-//! Control bytes and platform requests of a fleet, from the nodes' metrics.
+//! Control traffic of a fleet, summed from the nodes' metrics.
 
 use crate::fleet::Fleet;
 use futures::future::join_all;
 
-/// Control bytes of all nodes since their start.
+/// Control bytes of all running nodes, each counted since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(super) struct Bytes {
-    /// Sent to peers.
+    /// Bytes sent to peers.
     pub(super) peers: f64,
-    /// Sent to and received from the platform.
+    /// Bytes sent to and received from the platform.
     pub(super) platform: f64,
 }
 
 impl Bytes {
-    /// What all running nodes of `fleet` have counted. A node that doesn't answer counts as zero.
+    /// Reads the counters of all running nodes of `fleet`. A node that doesn't answer counts as zero.
     pub(super) async fn of(fleet: &Fleet) -> Self {
         let names = fleet.running();
         let pages = join_all(names.iter().map(|name| fleet.metrics(name))).await;
@@ -26,7 +26,7 @@
         bytes
     }
 
-    /// All of them.
+    /// Sums peer and platform bytes.
     pub(super) fn total(self) -> f64 {
         self.peers + self.platform
     }
--- a/crates/sycamore-bench/src/measure/converge/change.rs
+++ b/crates/sycamore-bench/src/measure/converge/change.rs
@@ -1,16 +1,16 @@
-//! Configurations of the size to design for, and changes of them.
+//! Configurations of the largest size that the product is designed for, each one route apart.
 
 use crate::fleet::Deployment;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
-/// Services of every configuration.
+/// Services in every configuration.
 const SERVICES: usize = 51;
-/// Routes of each service.
+/// Routes per service.
 const ROUTES: usize = 2;
 
-/// The resources after `change` changes of one route each: 51 services, those of `deployment`
-/// among them, and 102 routes.
+/// Returns the configuration's resources after `change` changes of one route each: 51 services,
+/// including those of `deployment`, and 102 routes.
 pub(super) fn resources(deployment: &Deployment, change: usize) -> Vec<Value> {
     let mut names: BTreeSet<String> = deployment.services.iter().map(|s| s.name.clone()).collect();
     let mut number = 0;
@@ -30,7 +30,8 @@
 
 fn route(service: &str, number: usize, part: usize, change: usize) -> Value {
     let total = SERVICES * ROUTES;
-    // Change number c is to route c modulo all routes: how often did it change by now?
+    // Change number c modifies route c modulo the number of routes; this counts the changes of
+    // this route so far.
     let times = (change + total - 1 - number % total) / total;
     json!({
         "kind": "route",
--- a/crates/sycamore-bench/src/measure/converge/fault.rs
+++ b/crates/sycamore-bench/src/measure/converge/fault.rs
@@ -1,19 +1,19 @@
-//! Faults during the changes.
+//! Faults that `measure converge` can inject into configuration changes.
 
 use std::fmt;
 
-/// A fault that each change meets.
+/// Fault that is injected into every change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// 30% of the nodes are killed at once and started again a second later.
+    /// 30% of the nodes are killed at the same time and restarted a second later.
     Herd,
-    /// A node is frozen over the change and thawed afterwards.
+    /// One node is stopped by SIGSTOP before the change and resumed when the others have it.
     Freeze,
-    /// The platform goes out as soon as the change is accepted.
+    /// The platform is unavailable for a time, starting as soon as the change is accepted.
     PlatformOut,
-    /// The answer to the acceptance is lost after it took effect.
+    /// The platform loses its answers to the change's writes after they took effect.
     LostAnswer,
-    /// Two operators apply at once.
+    /// Two operators apply a configuration at the same time.
     Race,
 }
 
@@ -21,7 +21,7 @@
     const ALL: [Fault; 5] =
         [Fault::Herd, Fault::Freeze, Fault::PlatformOut, Fault::LostAnswer, Fault::Race];
 
-    /// Its name on the command line.
+    /// Returns the fault's name on the command line and in the result.
     pub fn as_str(self) -> &'static str {
         match self {
             Fault::Herd => "herd",
@@ -39,12 +39,15 @@
     }
 }
 
-/// Reads a comma list of faults.
+/// Parses a comma-separated list of faults; empty names are skipped.
 pub(super) fn parse(list: &str) -> Result<Vec<Fault>, String> {
     let names = list.split(',').filter(|name| !name.is_empty());
     let faults = names.map(|name| {
         let known = Fault::ALL.into_iter().find(|fault| fault.as_str() == name);
-        known.ok_or_else(|| format!("{name:?} is no fault that this measurement knows"))
+        known.ok_or_else(|| {
+            let expected = Fault::ALL.map(Fault::as_str).join(", ");
+            format!("unknown fault {name:?}, expected one of {expected}")
+        })
     });
     faults.collect()
 }
--- a/crates/sycamore-bench/src/measure/converge/mod.rs
+++ b/crates/sycamore-bench/src/measure/converge/mod.rs
@@ -1,4 +1,5 @@
-//! Convergence of configurations: from an operator's command to in force on every node.
+//! The `converge` measurement: time from an operator's command until every node uses the new
+//! configuration.
 
 mod baseline;
 mod bytes;
@@ -17,9 +18,9 @@
 /// How nodes learn of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// The product's.
+    /// As the product's nodes do.
     Product,
-    /// Every node polls the whole configuration.
+    /// Every node polls the whole configuration from the platform.
     Baseline,
 }
 
@@ -30,47 +31,51 @@
         match text {
             "product" => Ok(Policy::Product),
             "baseline" => Ok(Policy::Baseline),
-            other => Err(format!("{other:?} is neither product nor baseline")),
+            other => Err(format!("unknown policy {other:?}, expected product or baseline")),
         }
     }
 }
 
-/// Options of the measurement.
+/// Options of `measure converge`.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seed of everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Changes of the configuration.
+    /// Number of configuration changes.
     pub changes: usize,
     /// How nodes learn of a change.
     pub policy: Policy,
-    /// Faults during the changes.
+    /// Faults that are injected into every change.
     pub faults: Vec<Fault>,
-    /// Seconds without a change before the first one.
+    /// Seconds without a change, before the first one, over which idle traffic is measured.
     pub idle: u64,
 }
 
-/// The parser of its options.
+/// Parses the options of `measure converge`.
 pub(super) fn parser() -> impl Parser<Options> {
     let seed = crate::cli::seed();
-    let nodes = long("nodes").help("Nodes").argument("N").fallback(20);
-    let changes = long("changes").help("Changes of the configuration").argument("K").fallback(10);
+    let nodes = long("nodes").help("Number of nodes").argument("N").fallback(20);
+    let changes =
+        long("changes").help("Number of configuration changes").argument("K").fallback(10);
     let policy = long("policy")
         .help("How nodes learn of a change: product or baseline")
         .argument("P")
         .fallback(Policy::Product);
     let faults = long("fault")
-        .help("Comma list of faults: herd, freeze, platform-out, lost-answer, race")
+        .help("Faults, comma-separated: herd, freeze, platform-out, lost-answer, race")
         .argument::<String>("F")
         .fallback(String::new())
         .parse(|list| fault::parse(&list));
-    let idle = long("idle").help("Seconds without a change, first").argument("S").fallback(10);
+    let idle = long("idle")
+        .help("Seconds of idle traffic before the first change")
+        .argument("S")
+        .fallback(10);
     construct!(Options { seed, nodes, changes, policy, faults, idle })
 }
 
-/// Runs it.
+/// Runs `measure converge` and prints its result.
 pub(super) async fn run(options: Options) -> Result<()> {
     let report = match options.policy {
         Policy::Product => run::run(&options).await?,
--- a/crates/sycamore-bench/src/measure/converge/report.rs
+++ b/crates/sycamore-bench/src/measure/converge/report.rs
@@ -1,13 +1,13 @@
-//! The result of a measurement.
+//! The JSON result of `measure converge`.
 
 use super::Options;
 use crate::measure::Violations;
 use serde::Serialize;
 
-/// The bound on convergence, in milliseconds.
+/// Bound on convergence, in milliseconds: a change not applied by then counts as late.
 const BOUND_MS: f64 = 14_000.0;
 
-/// The result as printed.
+/// JSON result of `measure converge`. Times are from a command to a node's use of the change.
 #[derive(Debug, Serialize)]
 pub(super) struct Report {
     seed: u64,
@@ -19,9 +19,9 @@
     p50_ms: f64,
     p99_ms: f64,
     max_ms: f64,
-    /// Nodes, over all changes, that had not put a change into force in time.
+    /// Pairs of a node and a change where the node applied it after [`BOUND_MS`] or never.
     late: usize,
-    /// From a killed node's start to its first configuration.
+    /// Time from a killed node's restart until it applied the change; absent without restarts.
     pub(super) restart_p50_ms: Option<f64>,
     pub(super) restart_max_ms: Option<f64>,
     pub(super) idle_bytes_per_node_s: f64,
@@ -34,16 +34,17 @@
     pub(super) cpu_core_share_max: Option<f64>,
     pub(super) rss_mb_mean: Option<f64>,
     pub(super) rss_mb_max: Option<f64>,
-    /// Commands that lost a race and were told who won.
+    /// Commands that were refused in a race with the winner's name.
     pub(super) race_lost: usize,
-    /// Commands of a race of which not exactly one was accepted.
+    /// Commands that failed in a race without a winner's name, and races where no command was accepted
+    /// or two were accepted as one version.
     pub(super) race_broken: usize,
     pub(super) violations: Violations,
 }
 
 impl Report {
-    /// A report on `times`, in milliseconds from command to in force; a node that never came is
-    /// infinite.
+    /// Creates a report of `times`, in milliseconds from a command to a node's use of the change;
+    /// infinite for a node that never applied it. The other figures are left for the caller to set.
     pub(super) fn new(options: &Options, mut times: Vec<f64>) -> Self {
         times.sort_by(f64::total_cmp);
         Self {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Adds the times, in milliseconds, from killed nodes' starts to their first configuration.
+    /// Adds the times, in milliseconds, from killed nodes' restarts until they applied the change.
     pub(super) fn with_restarts(mut self, mut times: Vec<f64>) -> Self {
         if !times.is_empty() {
             times.sort_by(f64::total_cmp);
@@ -89,8 +90,8 @@
     }
 }
 
-/// The value below which the share `q` of the ascending `values` lies; NaN, which JSON writes as
-/// null, where there is none.
+/// Computes the quantile `q` of the ascending `values` by nearest rank; NaN, which JSON writes as
+/// null, for no values.
 fn quantile(values: &[f64], q: f64) -> f64 {
     let rank = (q * values.len() as f64).ceil() as usize;
     values.get(rank.saturating_sub(1)).copied().unwrap_or(f64::NAN)
--- a/crates/sycamore-bench/src/measure/converge/run.rs
+++ b/crates/sycamore-bench/src/measure/converge/run.rs
@@ -1,4 +1,4 @@
-//! Runs the changes against real nodes.
+//! Runs configuration changes, with faults, against the processes of a fleet.
 
 use super::bytes::Bytes;
 use super::report::Report;
@@ -16,20 +16,20 @@
 use std::pin::pin;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time for membership to settle before anything is measured.
+/// Wait before the first measurement, so that membership traffic settles.
 const SETTLE: Duration = Duration::from_secs(15);
-/// Time between a change and the next one.
-const BETWEEN: Duration = Duration::from_millis(500);
-/// Time that killed nodes stay dead.
-const DEAD: Duration = Duration::from_secs(1);
-/// Time that the platform stays out after a change.
+/// Mean pause between two changes; each pause is 50% to 150% of it.
+const CHANGE_PAUSE: Duration = Duration::from_millis(500);
+/// Time from killing nodes until they are restarted.
+const RESTART_DELAY: Duration = Duration::from_secs(1);
+/// Length of the platform's outage after a change.
 const OUTAGE: Duration = Duration::from_secs(5);
-/// Longest wait for the fleet to be ready.
+/// Longest wait until all nodes are ready.
 const READY_LIMIT: Duration = Duration::from_secs(90);
-/// One of so many nodes is killed in a herd: 30 of 100.
+/// Share of the nodes that the `herd` fault kills, in percent.
 const HERD_PERCENT: usize = 30;
 
-/// Runs the measurement with a fleet of its own.
+/// Starts a fleet, runs the changes of `options` on it and reports the times.
 pub(super) async fn run(options: &Options) -> Result<Report> {
     let deployment = Deployment::scaled(options.nodes);
     let fleet = Fleet::start(FleetOptions {
@@ -48,16 +48,17 @@
     Ok(report)
 }
 
-/// What a stretch of the run has used.
-struct Mark {
+/// Counters and resource usage of a fleet at one moment; two of them give a stretch's consumption.
+struct Snapshot {
     at: Instant,
     bytes: Bytes,
     stats: Stats,
+    /// Instance, process id and usage of each running node.
     usages: Vec<(String, i32, Usage)>,
 }
 
-impl Mark {
-    async fn set(fleet: &Fleet) -> Result<Self> {
+impl Snapshot {
+    async fn take(fleet: &Fleet) -> Result<Self> {
         let usage = |name: String| {
             let pid = fleet.node_pid(&name).ok()?;
             Some((name.clone(), pid, fleet.node_usage(&name).ok()?))
@@ -71,14 +72,18 @@
     }
 }
 
-/// The changes under way, and what they have shown.
+/// State of a run of changes: its random choices and what was measured so far.
 struct Run<'a> {
     options: &'a Options,
     fleet: &'a Fleet,
     rng: SmallRng,
+    /// Milliseconds from each command, or a stopped node's resume, until a node applied the change.
     times: Vec<f64>,
+    /// Milliseconds from each restart until the node applied the change.
     restarts: Vec<f64>,
+    /// Commands that were refused with the winner's name.
     race_lost: usize,
+    /// Failures of races; see [`Report::race_broken`].
     race_broken: usize,
 }
 
@@ -86,9 +91,9 @@
     let deployment = &fleet.options().deployment;
     fleet.apply_resources("bench", change::resources(deployment, 0)).await?;
     monoio::time::sleep(SETTLE).await;
-    let idle = Mark::set(fleet).await?;
+    let idle = Snapshot::take(fleet).await?;
     monoio::time::sleep(Duration::from_secs(options.idle)).await;
-    let start = Mark::set(fleet).await?;
+    let start = Snapshot::take(fleet).await?;
     let mut run = Run {
         options,
         fleet,
@@ -102,10 +107,10 @@
     for number in 1..=options.changes {
         run.change(number).await?;
     }
-    let end = Mark::set(fleet).await?;
+    let end = Snapshot::take(fleet).await?;
     watch.look(fleet).await;
     let mut violations = watch.violations();
-    violations += observe::steps_back(fleet).await;
+    violations += observe::count_regressions(fleet).await;
     Ok(run.report(&idle, &start, &end, violations))
 }
 
@@ -114,7 +119,7 @@
         self.options.faults.contains(&fault)
     }
 
-    /// One change under the faults, until it is in force or given up.
+    /// Applies change `number` with the faults, and waits until all nodes use it or the wait is over.
     async fn change(&mut self, number: usize) -> Result<()> {
         let names = self.fleet.running();
         let herd = self.draw_herd(&names);
@@ -122,7 +127,8 @@
         let Some(at) = rest.choose(&mut self.rng).cloned() else { return Ok(()) };
         let frozen = self.draw_frozen(&rest, &at);
         if self.has(Fault::LostAnswer) {
-            // The object's put is settled by putting it again, the acceptance by reading back.
+            // Loses the answers to the object's put, which the node repeats, and to the head's write,
+            // which the node reads back.
             self.control(Control { lost_answers: Some(2), ..Control::default() }).await?;
         }
         if let Some(name) = &frozen {
@@ -137,27 +143,31 @@
             let outage_ms = Some(u64::try_from(OUTAGE.as_millis()).unwrap_or(u64::MAX));
             self.control(Control { outage_ms, ..Control::default() }).await?;
         }
-        let thawed: Vec<String> =
+        let responsive: Vec<String> =
             rest.iter().filter(|n| Some(*n) != frozen.as_ref()).cloned().collect();
-        let (in_force, restarts) =
-            join(observe::wait(self.fleet, &thawed, version), restart(self.fleet, &herd, version))
-                .await;
-        self.note(sent, &thawed, &in_force);
+        let (applied, restarts) = join(
+            observe::wait_until_applied(self.fleet, &responsive, version),
+            restart_killed(self.fleet, &herd, version),
+        )
+        .await;
+        self.record_times(sent, &responsive, &applied);
         self.restarts.extend(restarts?);
         if let Some(name) = frozen {
-            let thaw = wall_ms();
+            let resumed = wall_ms();
             self.fleet.signal_node(&name, Signal::SIGCONT)?;
-            let in_force = observe::wait(self.fleet, std::slice::from_ref(&name), version).await;
-            self.note(thaw, &[name], &in_force);
+            let applied =
+                observe::wait_until_applied(self.fleet, std::slice::from_ref(&name), version).await;
+            self.record_times(resumed, &[name], &applied);
         }
         if self.has(Fault::PlatformOut) {
             self.control(Control { outage_ms: Some(0), ..Control::default() }).await?;
         }
-        let pause = BETWEEN.mul_f64(self.rng.random_range(0.5..1.5));
+        let pause = CHANGE_PAUSE.mul_f64(self.rng.random_range(0.5..1.5));
         monoio::time::sleep(pause).await;
         Ok(())
     }
 
+    /// Draws the nodes that the `herd` fault kills; none without the fault.
     fn draw_herd(&mut self, names: &[String]) -> Vec<String> {
         let count = match self.has(Fault::Herd) {
             true => names.len() * HERD_PERCENT / 100,
@@ -166,6 +176,7 @@
         names.choose_multiple(&mut self.rng, count).cloned().collect()
     }
 
+    /// Draws the node that the `freeze` fault stops, other than `not`; `None` without the fault.
     fn draw_frozen(&mut self, names: &[String], not: &str) -> Option<String> {
         if !self.has(Fault::Freeze) {
             return None;
@@ -174,7 +185,7 @@
         others.choose(&mut self.rng).map(|name| (*name).clone())
     }
 
-    /// Applies change `number` at the node `at`; gives the version that was accepted.
+    /// Applies change `number` at the node `at` and returns the accepted version.
     async fn apply(&mut self, at: &str, number: usize) -> Result<u64> {
         let resources = change::resources(&self.fleet.options().deployment, number);
         let command = |operator: &str, op: u128| {
@@ -195,11 +206,12 @@
             self.fleet.command(&other, "config-apply", &second),
         )
         .await;
-        Ok(self.judge_race([one, two]))
+        Ok(self.count_race_failures([one, two]))
     }
 
-    /// The version accepted in a race. Both may be, one after the other, with versions of their own.
-    fn judge_race(&mut self, answers: [Result<serde_json::Value>; 2]) -> u64 {
+    /// Counts the failures among the two answers of a race and returns the highest accepted version.
+    /// Both commands may be accepted, one after the other, as two versions.
+    fn count_race_failures(&mut self, answers: [Result<serde_json::Value>; 2]) -> u64 {
         let mut versions = Vec::new();
         for answer in answers {
             match answer {
@@ -215,8 +227,8 @@
         versions.into_iter().max().unwrap_or_default()
     }
 
-    fn note(&mut self, since: u64, nodes: &[String], in_force: &observe::InForce) {
-        let time = |node: &String| match in_force.get(node) {
+    fn record_times(&mut self, since: u64, nodes: &[String], applied: &observe::AppliedAt) {
+        let time = |node: &String| match applied.get(node) {
             Some(at) => at.saturating_sub(since) as f64,
             None => f64::INFINITY,
         };
@@ -227,7 +239,13 @@
         self.fleet.control_platform(&control).await.map(|_| ())
     }
 
-    fn report(self, idle: &Mark, start: &Mark, end: &Mark, violations: Violations) -> Report {
+    fn report(
+        self,
+        idle: &Snapshot,
+        start: &Snapshot,
+        end: &Snapshot,
+        violations: Violations,
+    ) -> Report {
         let nodes = self.options.nodes as f64;
         let (quiet, busy) = (seconds(idle, start), seconds(start, end));
         let idle_bytes = start.bytes.total() - idle.bytes.total();
@@ -242,7 +260,7 @@
         report.seconds = quiet + busy;
         report.idle_bytes_per_node_s = idle_bytes / quiet / nodes;
         report.idle_peer_bytes_per_node_s = idle_peers / quiet / nodes;
-        // The counts of killed nodes are gone, so that a herd leaves no figure.
+        // Killed nodes lose their counters, so a run with a herd has no such figure.
         report.bytes_per_change_per_node = match self.has(Fault::Herd) {
             true => f64::NAN,
             false => extra / (self.options.changes.max(1) as f64 * nodes),
@@ -261,25 +279,27 @@
     }
 }
 
-/// Starts killed nodes again; gives the times, in milliseconds, until `version` is in force there.
-async fn restart(fleet: &Fleet, herd: &[String], version: u64) -> Result<Vec<f64>> {
+/// Restarts the killed nodes `herd` after [`RESTART_DELAY`] and returns the milliseconds until each
+/// applied `version`; infinite for a node that did not in time.
+async fn restart_killed(fleet: &Fleet, herd: &[String], version: u64) -> Result<Vec<f64>> {
     if herd.is_empty() {
         return Ok(Vec::new());
     }
-    monoio::time::sleep(DEAD).await;
+    monoio::time::sleep(RESTART_DELAY).await;
     let started = wall_ms();
     for name in herd {
         fleet.start_node(name)?;
     }
-    let in_force = observe::wait(fleet, herd, version).await;
-    let time = |name: &String| match in_force.get(name) {
+    let applied = observe::wait_until_applied(fleet, herd, version).await;
+    let time = |name: &String| match applied.get(name) {
         Some(at) => at.saturating_sub(started) as f64,
         None => f64::INFINITY,
     };
     Ok(herd.iter().map(time).collect())
 }
 
-/// Processor and memory of the nodes that ran from one mark to another.
+/// CPU time as a share of one core, for nodes whose process lived through a stretch, and memory in
+/// MiB at its end, for all nodes.
 struct UsageShares {
     cpu_mean: f64,
     cpu_max: f64,
@@ -288,7 +308,7 @@
 }
 
 impl UsageShares {
-    fn between(from: &Mark, to: &Mark) -> Self {
+    fn between(from: &Snapshot, to: &Snapshot) -> Self {
         let time = seconds(from, to);
         let mut cpu = Vec::new();
         for (name, pid, before) in &from.usages {
@@ -311,7 +331,7 @@
     values.iter().copied().fold(0.0, f64::max)
 }
 
-fn seconds(from: &Mark, to: &Mark) -> f64 {
+fn seconds(from: &Snapshot, to: &Snapshot) -> f64 {
     to.at.duration_since(from.at).as_secs_f64()
 }
 
