--- a/crates/sycamore-bench/src/measure/members/fault.rs
+++ b/crates/sycamore-bench/src/measure/members/fault.rs
@@ -1,6 +1,6 @@
-//! Faults of nodes, and how long the others take to notice.
+//! Node faults of `measure members`, and the time until all other nodes have detected them.
 
-use super::{agree, Options};
+use super::{wait_until_all_know, Options};
 use crate::fleet::Fleet;
 use crate::{BenchError, Result};
 use error_stack::Report;
@@ -8,53 +8,57 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// Time that a frozen node stays frozen: longer than it takes to be found dead.
+/// Shortest time that the `freeze` fault keeps a node stopped: longer than the others take to find it
+/// dead.
 const FREEZE: Duration = Duration::from_secs(15);
-/// Share of the nodes that a herd is, in percent.
+/// Share of the nodes that the `herd` fault kills, in percent.
 const HERD_PERCENT: usize = 30;
 
-/// A fault.
+/// Fault of one or more nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// One node is killed, and started again when all know it dead.
+    /// One node is killed, and restarted when all others consider it dead.
     Kill,
-    /// 30% of the nodes are killed at once, and started again at once.
+    /// 30% of the nodes are killed at the same time, and restarted together when all others consider
+    /// them dead.
     Herd,
-    /// One node is frozen, and thawed.
+    /// One node is stopped by SIGSTOP, and resumed at least 15 seconds later.
     Freeze,
 }
 
-/// How long the nodes took to agree again.
+/// Detection and recovery times of one fault, in milliseconds over the nodes.
 #[derive(Debug, Serialize)]
-pub(super) struct Noticed {
+pub(super) struct FaultTimes {
     fault: Fault,
-    /// Until the survivors knew the dead: median and longest.
+    /// Median time from the fault until a surviving node considered the failed ones dead.
     gone_p50_ms: u128,
+    /// Longest time from the fault until a surviving node considered the failed ones dead.
     gone_max_ms: u128,
-    /// From the restart, or thaw, until all nodes knew all: median and longest.
+    /// Median time from the restart or resume until a node knew all nodes.
     back_p50_ms: u128,
+    /// Longest time from the restart or resume until a node knew all nodes.
     back_max_ms: u128,
 }
 
 impl Fault {
-    /// Reads a comma list.
+    /// Parses a comma-separated list of faults.
     ///
     /// # Errors
-    /// Names the first that is unknown.
+    /// The first unknown name, with the names that are expected.
     pub fn parse_list(list: &str) -> std::result::Result<Vec<Fault>, String> {
         list.split(',')
             .map(|name| match name {
                 "kill" => Ok(Fault::Kill),
                 "herd" => Ok(Fault::Herd),
                 "freeze" => Ok(Fault::Freeze),
-                _ => Err(format!("unknown fault {name}; kill, herd and freeze can be had here")),
+                _ => Err(format!("unknown fault {name:?}, expected kill, herd or freeze")),
             })
             .collect()
     }
 
-    /// Causes the fault, waits until it is noticed, and mends it.
-    pub(super) async fn run(self, fleet: &Fleet, options: &Options) -> Result<Noticed> {
+    /// Causes the fault, waits until all other nodes have detected it, and ends it.
+    pub(super) async fn run(self, fleet: &Fleet, options: &Options) -> Result<FaultTimes> {
         let victims = self.victims(fleet)?;
         let left = options.nodes - victims.len();
         let start = Instant::now();
@@ -64,8 +68,8 @@
                 Fault::Freeze => fleet.signal_node(victim, Signal::SIGSTOP)?,
             }
         }
-        let gone = agree(fleet, left, &victims).await?;
-        let (gone_p50_ms, gone_max_ms) = spread(start, gone);
+        let gone = wait_until_all_know(fleet, left, &victims).await?;
+        let (gone_p50_ms, gone_max_ms) = median_and_max_ms(start, gone);
         if self == Fault::Freeze {
             monoio::time::sleep(FREEZE.saturating_sub(start.elapsed())).await;
         }
@@ -76,11 +80,12 @@
                 Fault::Freeze => fleet.signal_node(victim, Signal::SIGCONT)?,
             }
         }
-        let back = agree(fleet, options.nodes, &[]).await?;
-        let (back_p50_ms, back_max_ms) = spread(start, back);
-        let noticed = Noticed { fault: self, gone_p50_ms, gone_max_ms, back_p50_ms, back_max_ms };
-        eprintln!("{noticed:?}");
-        Ok(noticed)
+        let back = wait_until_all_know(fleet, options.nodes, &[]).await?;
+        let (back_p50_ms, back_max_ms) = median_and_max_ms(start, back);
+        let outcome =
+            FaultTimes { fault: self, gone_p50_ms, gone_max_ms, back_p50_ms, back_max_ms };
+        eprintln!("{outcome:?}");
+        Ok(outcome)
     }
 
     fn victims(self, fleet: &Fleet) -> Result<Vec<String>> {
@@ -89,16 +94,20 @@
             Fault::Kill | Fault::Freeze => 1,
             Fault::Herd => running.len() * HERD_PERCENT / 100,
         };
-        // Every third node, so that the herd is spread over services and data centres.
+        // Every third node, so that the killed nodes are spread over services and data centres.
         let victims: Vec<String> = running.into_iter().step_by(3).take(count).collect();
         if victims.len() < count {
-            return Err(Report::new(BenchError::Option("too few nodes".into())));
+            return Err(Report::new(BenchError::Option(format!(
+                "--nodes: the fault needs {count} nodes to disturb, found {}",
+                victims.len()
+            ))));
         }
         Ok(victims)
     }
 }
 
-fn spread(start: Instant, mut times: Vec<Instant>) -> (u128, u128) {
+/// Returns the median and longest of `times` since `start`, in milliseconds.
+fn median_and_max_ms(start: Instant, mut times: Vec<Instant>) -> (u128, u128) {
     times.sort();
     let since = |at: Option<&Instant>| at.map_or(0, |at| (*at - start).as_millis());
     (since(times.get(times.len() / 2)), since(times.last()))
