--- a/crates/sycamore-bench/src/measure/converge/baseline.rs
+++ b/crates/sycamore-bench/src/measure/converge/baseline.rs
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Waits until every node has polled `version`; records an infinite time for each node that has not
-    /// within [`LIMIT`].
+    /// Waits until every node has polled `version`; records an infinite time for each node that has
+    /// not within [`LIMIT`].
     async fn wait_for_version(&self, version: u64) {
         let end = Instant::now() + LIMIT;
         let lagging = || self.versions.borrow().iter().filter(|v| **v < version).count();
--- a/crates/sycamore-bench/src/measure/converge/bytes.rs
+++ b/crates/sycamore-bench/src/measure/converge/bytes.rs
@@ -13,7 +13,8 @@
 }
 
 impl Bytes {
-    /// Reads the counters of all running nodes of `fleet`. A node that doesn't answer counts as zero.
+    /// Reads the counters of all running nodes of `fleet`. A node that doesn't answer counts as
+    /// zero.
     pub(super) async fn of(fleet: &Fleet) -> Self {
         let names = fleet.running();
         let pages = join_all(names.iter().map(|name| fleet.metrics(name))).await;
--- a/crates/sycamore-bench/src/measure/converge/observe.rs
+++ b/crates/sycamore-bench/src/measure/converge/observe.rs
@@ -16,8 +16,8 @@
 /// instance.
 pub(super) type AppliedAt = BTreeMap<String, u64>;
 
-/// Waits until every node of `nodes` has applied `version` or a higher one, or [`LIMIT`] has passed.
-/// Nodes that have not are absent from the result.
+/// Waits until every node of `nodes` has applied `version` or a higher one, or [`LIMIT`] has
+/// passed. Nodes that have not are absent from the result.
 pub(super) async fn wait_until_applied(fleet: &Fleet, nodes: &[String], version: u64) -> AppliedAt {
     let end = Instant::now() + LIMIT;
     let mut found = AppliedAt::new();
@@ -38,8 +38,8 @@
     events.into_iter().find(|(applied, _)| *applied >= version).map(|(_, at)| at)
 }
 
-/// Returns the versions that `node` applied, in order, each with its wall-clock time in milliseconds;
-/// `None` for a node that doesn't answer.
+/// Returns the versions that `node` applied, in order, each with its wall-clock time in
+/// milliseconds; `None` for a node that doesn't answer.
 async fn applied(fleet: &Fleet, node: &str) -> Option<Vec<(u64, u64)>> {
     let answer = fleet.query(node, "timeline?kind=config-applied").await.ok()?;
     let events = answer["events"].as_array()?;
--- a/crates/sycamore-bench/src/measure/converge/report.rs
+++ b/crates/sycamore-bench/src/measure/converge/report.rs
@@ -36,8 +36,8 @@
     pub(super) rss_mb_max: Option<f64>,
     /// Commands that were refused in a race with the winner's name.
     pub(super) race_lost: usize,
-    /// Commands that failed in a race without a winner's name, and races where no command was accepted
-    /// or two were accepted as one version.
+    /// Commands that failed in a race without a winner's name, and races where no command was
+    /// accepted or two were accepted as one version.
     pub(super) race_broken: usize,
     pub(super) violations: Violations,
 }
--- a/crates/sycamore-bench/src/measure/converge/run.rs
+++ b/crates/sycamore-bench/src/measure/converge/run.rs
@@ -119,7 +119,8 @@
         self.options.faults.contains(&fault)
     }
 
-    /// Applies change `number` with the faults, and waits until all nodes use it or the wait is over.
+    /// Applies change `number` with the faults, and waits until all nodes use it or the wait is
+    /// over.
     async fn change(&mut self, number: usize) -> Result<()> {
         let names = self.fleet.running();
         let herd = self.draw_herd(&names);
@@ -127,8 +128,8 @@
         let Some(at) = rest.choose(&mut self.rng).cloned() else { return Ok(()) };
         let frozen = self.draw_frozen(&rest, &at);
         if self.has(Fault::LostAnswer) {
-            // Loses the answers to the object's put, which the node repeats, and to the head's write,
-            // which the node reads back.
+            // Loses the answers to the object's put, which the node repeats, and to the head's
+            // write, which the node reads back.
             self.control(Control { lost_answers: Some(2), ..Control::default() }).await?;
         }
         if let Some(name) = &frozen {
@@ -209,8 +210,8 @@
         Ok(self.count_race_failures([one, two]))
     }
 
-    /// Counts the failures among the two answers of a race and returns the highest accepted version.
-    /// Both commands may be accepted, one after the other, as two versions.
+    /// Counts the failures among the two answers of a race and returns the highest accepted
+    /// version. Both commands may be accepted, one after the other, as two versions.
     fn count_race_failures(&mut self, answers: [Result<serde_json::Value>; 2]) -> u64 {
         let mut versions = Vec::new();
         for answer in answers {
--- a/crates/sycamore-bench/src/measure/members/fault.rs
+++ b/crates/sycamore-bench/src/measure/members/fault.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// Shortest time that the `freeze` fault keeps a node stopped: longer than the others take to find it
-/// dead.
+/// Shortest time that the `freeze` fault keeps a node stopped: longer than the others take to find
+/// it dead.
 const FREEZE: Duration = Duration::from_secs(15);
 /// Share of the nodes that the `herd` fault kills, in percent.
 const HERD_PERCENT: usize = 30;
@@ -20,8 +20,8 @@
 pub enum Fault {
     /// One node is killed, and restarted when all others consider it dead.
     Kill,
-    /// 30% of the nodes are killed at the same time, and restarted together when all others consider
-    /// them dead.
+    /// 30% of the nodes are killed at the same time, and restarted together when all others
+    /// consider them dead.
     Herd,
     /// One node is stopped by SIGSTOP, and resumed at least 15 seconds later.
     Freeze,
--- a/crates/sycamore-bench/src/measure/members/mod.rs
+++ b/crates/sycamore-bench/src/measure/members/mod.rs
@@ -1,5 +1,5 @@
-//! The `members` measurement: time until all nodes know all others, control traffic and resources of
-//! an idle fleet, and fault detection time.
+//! The `members` measurement: time until all nodes know all others, control traffic and resources
+//! of an idle fleet, and fault detection time.
 
 mod fault;
 
@@ -151,8 +151,8 @@
     Ok(times)
 }
 
-/// Reads the number of members that `instance` knows and how many of them are suspect; `None` where it
-/// doesn't answer.
+/// Reads the number of members that `instance` knows and how many of them are suspect; `None` where
+/// it doesn't answer.
 async fn member_counts(fleet: &Fleet, instance: &str) -> Option<(usize, usize)> {
     let metrics = fleet.metrics(instance).await.ok()?;
     let suspects =
@@ -176,8 +176,8 @@
     join_all(fleet.running().into_iter().map(read)).await.into_iter().collect()
 }
 
-/// Measures traffic and resource usage of the idle fleet over `time`. Seed, nodes, faults and the time
-/// to full membership are left for the caller to set.
+/// Measures traffic and resource usage of the idle fleet over `time`. Seed, nodes, faults and the
+/// time to full membership are left for the caller to set.
 async fn measure_idle(fleet: &Fleet, time: Duration) -> Result<Outcome> {
     let (start, before) = (Instant::now(), read_nodes(fleet).await?);
     let stats = fleet.platform_stats().await?;
--- a/crates/sycamore-bench/src/measure/mod.rs
+++ b/crates/sycamore-bench/src/measure/mod.rs
@@ -41,7 +41,7 @@
 pub fn parser() -> impl Parser<Command> {
     let path = path::parser()
         .to_options()
-        .descr("Mixed calls through nodes and upstreams of the zlatna-klupa deployment at its current size.")
+        .descr("Mixed calls through nodes and upstreams, at zlatna-klupa's current size.")
         .command("path")
         .map(Command::Path);
     let moves = moves::parser()
--- a/crates/sycamore-bench/src/measure/moves/bus.rs
+++ b/crates/sycamore-bench/src/measure/moves/bus.rs
@@ -1,10 +1,10 @@
-//! Messages under way on faked time.
+//! Messages in flight on simulated time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Delivers messages at their time, in the order of sending where times are equal.
-pub struct Bus<M> {
+/// Queue that delivers messages at their arrival time, in the order of sending for equal times.
+pub struct MessageQueue<M> {
     heap: BinaryHeap<Reverse<Entry<M>>>,
     sent: u64,
 }
@@ -35,20 +35,20 @@
     }
 }
 
-impl<M> Default for Bus<M> {
+impl<M> Default for MessageQueue<M> {
     fn default() -> Self {
         Self { heap: BinaryHeap::new(), sent: 0 }
     }
 }
 
-impl<M> Bus<M> {
-    /// Sends `message`, to arrive at `at_ms`.
+impl<M> MessageQueue<M> {
+    /// Enqueues `message` to arrive at `at_ms`.
     pub fn send(&mut self, at_ms: u64, message: M) {
         self.sent += 1;
         self.heap.push(Reverse(Entry { at_ms, seq: self.sent, message }));
     }
 
-    /// Takes the next message that has arrived by `now_ms`.
+    /// Removes and returns the earliest message that has arrived by `now_ms`.
     pub fn take(&mut self, now_ms: u64) -> Option<M> {
         match self.heap.peek() {
             Some(Reverse(entry)) if entry.at_ms <= now_ms => {
--- a/crates/sycamore-bench/src/measure/moves/mod.rs
+++ b/crates/sycamore-bench/src/measure/moves/mod.rs
@@ -1,6 +1,7 @@
-//! Release moves: good ones done, bad ones taken back, and at what cost.
+//! The `moves` measurement: shares of good moves done and of bad moves taken back, and the requests
+//! that bad versions get.
 //!
-//! Without `--real`, thousands of moves run over the product's state machines on faked time.
+//! Runs thousands of moves on the product's state machines and simulated time, without processes.
 
 mod baseline;
 mod bus;
@@ -22,70 +23,70 @@
 use std::time::Instant;
 use summary::Summary;
 
-/// Who decides.
+/// Policy that raises the new version's share and decides on a move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// The product.
+    /// The product's state machines.
     Product,
-    /// Fixed steps with a threshold on the error rate.
+    /// Fixed steps with a threshold on the error rate; see [`baseline::Baseline`].
     Baseline,
 }
 
-/// Faults that are put in.
+/// Faults that are injected into every move.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    /// The platform is out from the start until after the deadline.
+    /// The platform is unavailable from the start of the trial until 10 seconds after the deadline.
     pub platform_out: bool,
-    /// A node of the service is killed every few seconds.
+    /// A node of the service is killed every 8 seconds after the move's start.
     pub kill: bool,
-    /// Two operators abort some of the moves at the same moment; answers get lost.
+    /// Two operators abort some of the moves at the same moment, and the platform loses answers.
     pub race: bool,
-    /// Answers of the platform get lost.
+    /// The platform loses answers after the writes took effect.
     pub lost_answer: bool,
 }
 
-/// Options of the measurement.
+/// Options of `measure moves`.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seed of everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Moves with good versions.
+    /// Number of moves to good versions.
     pub good: usize,
-    /// Moves with bad versions.
+    /// Number of moves to bad versions.
     pub bad: usize,
-    /// Who decides: `product` or `baseline`.
+    /// Policy that decides on the moves.
     pub policy: Policy,
-    /// Faults that are put in.
+    /// Faults that are injected into every move.
     pub faults: Faults,
 }
 
-/// The parser of its options.
+/// Parses the options of `measure moves`.
 pub(super) fn parser() -> impl Parser<Options> {
     let seed = crate::cli::seed();
-    let good = long("good").help("Moves with good versions").argument("G").fallback(60);
-    let bad = long("bad").help("Moves with bad versions").argument("B").fallback(70);
+    let good = long("good").help("Number of moves to good versions").argument("G").fallback(60);
+    let bad = long("bad").help("Number of moves to bad versions").argument("B").fallback(70);
     let policy = long("policy")
-        .help("product or baseline")
+        .help("Policy that decides on the moves: product or baseline")
         .argument::<String>("P")
-        .parse(|text| policy(&text))
+        .parse(|text| parse_policy(&text))
         .fallback(Policy::Product);
     let faults = long("fault")
-        .help("Comma list of platform-out, kill, race, lost-answer")
+        .help("Faults, comma-separated: platform-out, kill, race, lost-answer")
         .argument::<String>("F")
-        .parse(|text| faults(&text))
+        .parse(|text| parse_faults(&text))
         .fallback(Faults::default());
     construct!(Options { seed, good, bad, policy, faults })
 }
 
-fn policy(text: &str) -> std::result::Result<Policy, String> {
+fn parse_policy(text: &str) -> std::result::Result<Policy, String> {
     match text {
         "product" => Ok(Policy::Product),
         "baseline" => Ok(Policy::Baseline),
-        other => Err(format!("there is no policy {other:?}")),
+        other => Err(format!("unknown policy {other:?}, expected product or baseline")),
     }
 }
 
-fn faults(text: &str) -> std::result::Result<Faults, String> {
+fn parse_faults(text: &str) -> std::result::Result<Faults, String> {
     let mut faults = Faults::default();
     for name in text.split(',') {
         match name {
@@ -93,22 +94,25 @@
             "kill" => faults.kill = true,
             "race" => faults.race = true,
             "lost-answer" => faults.lost_answer = true,
-            other => return Err(format!("fault {other:?} does not apply to moves")),
+            other => {
+                let expected = "platform-out, kill, race or lost-answer";
+                return Err(format!("unknown fault {other:?}, expected {expected}"));
+            }
         }
     }
     Ok(faults)
 }
 
-/// Runs it.
+/// Runs `measure moves` and prints its result.
 pub(super) async fn run(options: Options) -> Result<()> {
     let started = Instant::now();
     let mut summary = Summary::default();
     let kinds = (0..options.good).map(|i| GOOD[i % GOOD.len()]);
     let kinds = kinds.chain((0..options.bad).map(|i| BAD[i % BAD.len()]));
     for (index, kind) in kinds.enumerate() {
-        let trial = one(&options, kind, index as u64);
-        if let Some(reason) = trial.false_reason() {
-            eprintln!("move {index} ({kind:?}) was taken back falsely: {reason}");
+        let trial = run_trial(&options, kind, index as u64);
+        if let Some(reason) = trial.false_withdrawal_reason() {
+            eprintln!("move {index} ({kind:?}) to a good version was taken back: {reason}");
         }
         summary.add(&trial);
     }
@@ -117,7 +121,7 @@
     Ok(())
 }
 
-fn one(options: &Options, kind: Kind, index: u64) -> trial::Trial {
+fn run_trial(options: &Options, kind: Kind, index: u64) -> trial::Trial {
     let mut rng = SmallRng::seed_from_u64(options.seed.wrapping_mul(1_000_003) + index);
     let scenario = Scenario::draw(kind, &mut rng);
     trial::run(&scenario, options.policy, &options.faults, rng.random())
--- a/crates/sycamore-bench/src/measure/moves/node.rs
+++ b/crates/sycamore-bench/src/measure/moves/node.rs
@@ -1,4 +1,5 @@
-//! An emulated node: the product's state machines for one move, and what it keeps of its calls.
+//! Emulated nodes of `measure moves`: the product's state machines for one move, and the calls that
+//! run on the node's upstream.
 
 use super::upstream::Call;
 use sycamore_moves::control::{Action, ControlOptions, Input, Moment, MoveControl, Peer};
@@ -6,53 +7,56 @@
 use sycamore_moves::plan::MoveRow;
 use sycamore_types::prelude::*;
 
-/// Time between two reports of a node, in milliseconds.
+/// Time between two evidence reports of a node, in milliseconds.
 pub const REPORT_MS: u64 = 250;
-/// Time between two ticks of a node's control, in milliseconds.
+/// Time between two ticks of a node's move control, in milliseconds.
 pub const TICK_MS: u64 = 200;
-/// Time after which a report is repeated as a sign of life, in milliseconds.
-const REPEAT_MS: u64 = 1_500;
-/// Time over which an instance's load is measured, in milliseconds.
+/// Time without new evidence after which a node repeats its last report as a heartbeat, in
+/// milliseconds.
+const HEARTBEAT_MS: u64 = 1_500;
+/// Time constant of the exponential decay of an instance's load, in milliseconds.
 const LOAD_MS: f64 = 1_000.0;
 
-/// A call that runs.
+/// Call in progress on an emulated upstream.
 #[derive(Debug, Clone)]
 pub struct Running {
-    /// When it ends, in milliseconds.
+    /// Time at which the call ends, in milliseconds.
     pub ends_ms: u64,
-    /// What it reports then.
+    /// Outcome that the node records at the end.
     pub outcome: CallOutcome,
-    /// Its end is a crash of the upstream.
+    /// The call ends by a crash of the upstream.
     pub crash: bool,
 }
 
-/// One node, with its upstream.
+/// Emulated node with its upstream.
 pub struct Node {
-    /// Its member.
+    /// Member record that other nodes know the node by.
     pub member: Member,
-    /// Whether its upstream is of the new version.
+    /// Whether the upstream runs the new version.
     pub is_new: bool,
-    /// The upstream is down until then, in milliseconds.
+    /// Time until which the upstream is down, in milliseconds; 0 before its first crash.
     pub down_until_ms: u64,
-    /// The node process is down until then, in milliseconds.
+    /// Time until which the node process is down, in milliseconds; 0 for a node that was not
+    /// killed.
     pub dead_until_ms: u64,
-    /// Its control.
+    /// The product's control of the move on this node.
     pub control: MoveControl,
-    /// Calls that run.
+    /// Calls in progress on the upstream.
     pub running: Vec<Running>,
     collector: Collector,
     last_report_ms: u64,
+    /// Calls a second, decaying exponentially, as of `load_at_ms`.
     load: f64,
     load_at_ms: u64,
 }
 
-/// Both clocks at `ms`.
+/// Returns a moment at which the monotonic and the wall clock both read `ms`.
 pub fn moment(ms: u64) -> Moment {
     Moment { time: Time::from_millis(ms), wall: WallTime(ms) }
 }
 
 impl Node {
-    /// A node that starts at `ms`.
+    /// Creates a node that starts at `ms` and knows the move `row` at revision 1.
     pub fn new(member: Member, is_new: bool, row: &MoveRow, ms: u64) -> Self {
         let time = Time::from_millis(ms);
         let options = ControlOptions::default();
@@ -73,18 +77,18 @@
         }
     }
 
-    /// Starts again as a new generation; everything in memory is lost.
+    /// Restarts the node with `ms` as its new incarnation; everything in memory is lost.
     pub fn restart(&mut self, row: &MoveRow, ms: u64) {
         let member = Member { incarnation: Incarnation(ms), ..self.member.clone() };
         *self = Self::new(member, self.is_new, row, ms);
     }
 
-    /// Whether it can take a call.
+    /// Returns whether both the node process and its upstream are up at `ms`.
     pub fn is_up(&self, ms: u64) -> bool {
         ms >= self.down_until_ms && ms >= self.dead_until_ms
     }
 
-    /// What other nodes know of it.
+    /// Returns the peer description that other nodes' controls get.
     pub fn peer(&self) -> Peer {
         Peer {
             instance: self.member.instance.clone(),
@@ -94,7 +98,7 @@
         }
     }
 
-    /// Counts a call towards the instance's load; the load before it, in calls a second.
+    /// Adds `call` to the instance's load and returns the load before it, in calls a second.
     pub fn count_load(&mut self, call: &Call) -> f64 {
         let passed = call.at_ms.saturating_sub(self.load_at_ms) as f64;
         self.load *= (-passed / LOAD_MS).exp();
@@ -104,7 +108,7 @@
         load
     }
 
-    /// Ends the calls that are due. Gives the outcomes that the node saw.
+    /// Ends the calls that are due at `ms`, records their outcomes as evidence and returns them.
     pub fn finish(&mut self, ms: u64) -> Vec<CallOutcome> {
         let mut outcomes = Vec::new();
         while let Some(due) = self.running.iter().position(|call| call.ends_ms <= ms) {
@@ -121,7 +125,7 @@
         outcomes
     }
 
-    /// The upstream crashes: every call that runs on it breaks.
+    /// Crashes the upstream: returns `outcome` and those of all calls in progress as broken.
     fn crash(&mut self, ms: u64, outcome: CallOutcome) -> Vec<CallOutcome> {
         self.collector.crash();
         self.down_until_ms = ms + super::upstream::DOWN_MS;
@@ -132,24 +136,27 @@
             .collect()
     }
 
-    /// The report that is due, if any.
+    /// Returns the evidence report that is due at `ms`: new evidence, or a heartbeat after
+    /// [`HEARTBEAT_MS`].
     pub fn report(&mut self, ms: u64) -> Option<Report> {
         let time = Time::from_millis(ms);
         let report = match self.collector.report(time, self.control.signed()) {
             Some(report) => report,
-            None if ms.saturating_sub(self.last_report_ms) >= REPEAT_MS => self.collector.repeat(),
+            None if ms.saturating_sub(self.last_report_ms) >= HEARTBEAT_MS => {
+                self.collector.repeat()
+            }
             None => return None,
         };
         self.last_report_ms = ms;
         Some(report)
     }
 
-    /// Feeds the control.
+    /// Passes `input` to the move control and returns the actions it asks for.
     pub fn step(&mut self, ms: u64, input: Input) -> Vec<Action> {
         self.control.step(moment(ms), input)
     }
 
-    /// Whether it refuses calls as not run, because the version has lost its traffic.
+    /// Returns whether the node refuses calls as not run because its version was taken back.
     pub fn refuses(&self) -> bool {
         self.is_new && self.control.is_withdrawn()
     }
--- a/crates/sycamore-bench/src/measure/moves/scenario.rs
+++ b/crates/sycamore-bench/src/measure/moves/scenario.rs
@@ -1,42 +1,43 @@
-//! What is drawn for one move: its traffic, its versions and what is wrong with the new one.
+//! Randomly drawn scenarios of `measure moves`: traffic, instances and the defect of the new
+//! version.
 
 use rand::rngs::SmallRng;
 use rand::Rng;
 use serde::Serialize;
 
-/// What is the matter with a move's new version, or with the service around it.
+/// Defect of a move's new version, or disturbance of the whole service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Good: nothing is the matter.
+    /// Good: no disturbance.
     Plain,
-    /// Good: both versions fail now and then.
+    /// Good: calls to both versions fail at a rate of 1% to 8%.
     BadBaseline,
-    /// Good: the whole service is overloaded for a while.
+    /// Good: both versions are overloaded for part of the move.
     Overload,
-    /// Good: the traffic is low.
+    /// Good: the service gets 6 to 10 calls a second.
     LowTraffic,
-    /// Good: instances of the new version start cold.
+    /// Good: calls to the new version are slow during its cold start.
     ColdStart,
-    /// Good: one request crashes an instance of each version that runs it, twice in all.
+    /// Good: one request crashes the instance that runs it, twice in all.
     CrashRequest,
     /// Bad: calls fail from the start.
     FailsAtOnce,
     /// Bad: calls are slow from the start.
     SlowAtOnce,
-    /// Bad: calls begin to fail some time into the move.
+    /// Bad: calls fail from a random moment of the move on.
     FailsLater,
-    /// Bad: calls are slow once an instance is busy.
+    /// Bad: calls are slow on an instance above a load threshold.
     SlowUnderLoad,
     /// Bad: calls of one route fail.
     BadRoute,
     /// Bad: some calls crash the upstream.
     Crashes,
-    /// Bad: one caller gets a wrong status.
+    /// Bad: all calls of one caller are rejected.
     WrongStatus,
 }
 
-/// Kinds of good versions.
+/// Kinds with a good version, which must be done.
 pub const GOOD: [Kind; 6] = [
     Kind::Plain,
     Kind::BadBaseline,
@@ -46,7 +47,7 @@
     Kind::CrashRequest,
 ];
 
-/// Kinds of bad versions.
+/// Kinds with a bad version, which must be taken back.
 pub const BAD: [Kind; 7] = [
     Kind::FailsAtOnce,
     Kind::SlowAtOnce,
@@ -58,49 +59,51 @@
 ];
 
 impl Kind {
-    /// Whether a version of this kind must be taken back.
+    /// Returns whether a version of this kind must be taken back.
     pub fn is_bad(self) -> bool {
         BAD.contains(&self)
     }
 }
 
-/// One move and its surroundings. Times are in milliseconds from the begin of the trial.
+/// One move with its service's traffic. Times are in milliseconds since the start of the trial.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// What is the matter.
+    /// Defect or disturbance.
     pub kind: Kind,
     /// Calls a second of the whole service.
     pub rate: f64,
-    /// Instances of each version.
+    /// Number of instances of each version.
     pub instances: usize,
-    /// Routes; calls are spread evenly over them.
+    /// Number of routes; calls are spread evenly over them.
     pub routes: usize,
-    /// Callers; calls are spread evenly over them.
+    /// Number of callers; calls are spread evenly over them.
     pub callers: u64,
-    /// When the move starts.
+    /// Start of the move.
     pub start_ms: u64,
-    /// Its deadline.
+    /// Deadline of the move.
     pub deadline_ms: u64,
-    /// Median latency of a call, in milliseconds.
+    /// Median latency of an undisturbed call, in milliseconds.
     pub latency_ms: f64,
-    /// Chance that any call of any version fails.
+    /// Probability that a call fails, on either version.
     pub base_failure: f64,
-    /// How bad it is: the chance of a failure or crash, or the factor of slowness.
+    /// Severity: the probability of a failure, timeout or crash, or the factor on the latency; 0
+    /// for kinds that have none.
     pub degree: f64,
-    /// When the badness or the overload begins.
+    /// Start of the defect or the overload; 0 for kinds without one.
     pub onset_ms: u64,
-    /// When the overload ends.
+    /// End of the overload.
     pub offset_ms: u64,
-    /// Calls a second of one instance from which on it is slow.
+    /// Calls a second above which an instance is slow.
     pub load_threshold: f64,
 }
 
-/// Calls in a window that a move of usual traffic gets.
+/// Range of a service's calls between a move's start and deadline, except with low traffic.
 const WINDOW_CALLS: std::ops::Range<f64> = 12_000.0..40_000.0;
+/// Start of every move, in milliseconds since the start of the trial.
 const START_MS: u64 = 5_000;
 
 impl Scenario {
-    /// Draws a move of `kind`.
+    /// Draws a scenario of `kind`.
     pub fn draw(kind: Kind, rng: &mut SmallRng) -> Self {
         let low = kind == Kind::LowTraffic;
         let rate = if low { rng.random_range(6.0..10.0) } else { rng.random_range(80.0..400.0) };
@@ -122,7 +125,7 @@
                 Kind::BadBaseline => rng.random_range(0.01..0.08),
                 _ => 0.000_5,
             },
-            degree: degree(kind, rng),
+            degree: draw_degree(kind, rng),
             onset_ms: match kind {
                 Kind::FailsLater => window(rng.random_range(0.05..0.55)),
                 Kind::Overload => window(rng.random_range(0.05..0.6)),
@@ -134,7 +137,7 @@
     }
 }
 
-fn degree(kind: Kind, rng: &mut SmallRng) -> f64 {
+fn draw_degree(kind: Kind, rng: &mut SmallRng) -> f64 {
     match kind {
         Kind::FailsAtOnce | Kind::FailsLater => rng.random_range(0.05..1.0),
         Kind::BadRoute => rng.random_range(0.1..1.0),
--- a/crates/sycamore-bench/src/measure/moves/setup.rs
+++ b/crates/sycamore-bench/src/measure/moves/setup.rs
@@ -1,4 +1,4 @@
-//! The nodes and the row that a trial starts from.
+//! Initial state of a trial: the move's row, the nodes and their peers.
 
 use super::baseline::Baseline;
 use super::node::Node;
@@ -10,21 +10,22 @@
 use sycamore_moves::ramp::{fit, FitOptions};
 use sycamore_types::prelude::*;
 
-/// Nodes that callers speak to.
+/// Number of nodes that receive the callers' calls and split them between the versions.
 pub const CALLER_NODES: usize = 3;
+/// Concurrent calls that each member announces.
 const SLOTS: u16 = 12;
 
 fn id<T: std::str::FromStr>(text: &str) -> T {
-    // Every text here is a literal or a number behind a letter.
-    text.parse().ok().expect("identifiers of the emulation are valid")
+    // Can't fail: every text is a literal or a literal prefix with a number.
+    text.parse().ok().expect("identifier of the emulation is valid")
 }
 
-/// The name of a route.
+/// Returns the name of the route with the given index.
 pub fn route(index: usize) -> RouteName {
     id(["tickets", "intake", "photos", "stock"][index % 4])
 }
 
-/// The agreed row of the move.
+/// Creates the imported row of the move that `scenario` describes.
 pub fn row(scenario: &Scenario) -> MoveRow {
     let spec = MoveSpec {
         mv: id("move"),
@@ -48,7 +49,8 @@
     }
 }
 
-/// Old instances, new ones, then the nodes that callers speak to.
+/// Creates the nodes: those of the old version's instances, those of the new version's, then the
+/// [`CALLER_NODES`].
 pub fn nodes(scenario: &Scenario, row: &MoveRow) -> Vec<Node> {
     let of_version = |is_new: bool| {
         (0..scenario.instances).map(move |index| {
@@ -82,7 +84,7 @@
     }
 }
 
-/// The live instances at `ms`.
+/// Creates the input that names the instances of `service` whose nodes are up at `ms`.
 pub fn peers(service: &[Node], ms: u64) -> Input {
     let live: Vec<Peer> =
         service.iter().filter(|node| ms >= node.dead_until_ms).map(Node::peer).collect();
@@ -90,7 +92,7 @@
     Input::Peers { live, regions }
 }
 
-/// How the baseline ends a move.
+/// Returns the move's outcome under the `baseline` policy.
 pub fn baseline_outcome(scenario: &Scenario, baseline: &Baseline) -> Outcome {
     let (kind, cause, at) = match baseline.withdrawn_ms {
         Some(at) => (OutcomeKind::TakenBack, Cause::Bad, at),
--- a/crates/sycamore-bench/src/measure/moves/summary.rs
+++ b/crates/sycamore-bench/src/measure/moves/summary.rs
@@ -1,4 +1,4 @@
-//! Sums up the trials.
+//! Totals over all trials, and the JSON result of `measure moves`.
 
 use super::scenario::Kind;
 use super::trial::Trial;
@@ -8,33 +8,33 @@
 use std::fmt;
 use sycamore_moves::plan::{Cause, OutcomeKind};
 
-/// Counts over the trials of one kind.
+/// Counts over the trials of one scenario kind that no operator aborted.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct OfKind {
-    /// Moves that no operator aborted.
+pub struct KindCounts {
+    /// Number of moves.
     pub moves: usize,
-    /// Done by the deadline.
+    /// Moves done by the deadline.
     pub done_in_time: usize,
-    /// Done later.
+    /// Moves done after the deadline.
     pub done_late: usize,
-    /// Taken back as bad.
+    /// Moves taken back for another cause than the timeout.
     pub bad: usize,
-    /// Taken back because the evidence did not suffice by the deadline.
+    /// Moves taken back because the evidence did not suffice by the deadline.
     pub timeout: usize,
-    /// Not known at the end of the trial.
+    /// Moves without an outcome at the end of the trial.
     pub open: usize,
-    /// Calls while the moves were open.
+    /// Calls to the services while the moves were open.
     pub calls: u64,
-    /// Calls that the new versions got.
+    /// Calls of these that the new versions got.
     pub calls_new: u64,
     /// Calls that the new versions got later than a second after the evidence sufficed.
     pub after_evidence: u64,
 }
 
-/// Counts over all trials.
+/// Running totals over all trials.
 #[derive(Debug, Default)]
 pub struct Summary {
-    kinds: BTreeMap<Kind, OfKind>,
+    kinds: BTreeMap<Kind, KindCounts>,
     aborted: usize,
     aborted_done: usize,
     after_evidence: u64,
@@ -43,9 +43,9 @@
     withdraw_ms: Vec<u64>,
 }
 
-/// The measurement's object.
+/// JSON result of `measure moves`.
 #[derive(Debug, Serialize)]
-pub struct Result {
+pub struct MovesResult {
     seed: u64,
     nodes: usize,
     seconds: f64,
@@ -59,12 +59,12 @@
     aborted: usize,
     aborted_done: usize,
     outcomes_rewritten: usize,
-    by_kind: BTreeMap<Kind, OfKind>,
+    by_kind: BTreeMap<Kind, KindCounts>,
     violations: Violations,
 }
 
 impl Summary {
-    /// Adds a trial.
+    /// Adds the counts of `trial`; an aborted one is left out of its kind's counts.
     pub fn add(&mut self, trial: &Trial) {
         self.after_evidence += trial.after_evidence;
         self.after_verdict += trial.after_verdict;
@@ -92,12 +92,12 @@
         }
     }
 
-    /// The measurement's object.
-    pub fn result(mut self, seed: u64, seconds: f64) -> Result {
+    /// Creates the JSON result; `seconds` is the duration of the whole measurement.
+    pub fn result(mut self, seed: u64, seconds: f64) -> MovesResult {
         self.withdraw_ms.sort_unstable();
         let good = self.sum(false);
         let bad = self.sum(true);
-        Result {
+        MovesResult {
             seed,
             nodes: 0,
             seconds,
@@ -113,15 +113,16 @@
             outcomes_rewritten: self.outcomes_rewritten,
             by_kind: self.kinds,
             violations: Violations {
-                // A trial has few enough calls to fit.
+                // The cast loses nothing: trials have far fewer calls than a usize holds.
                 work_after_verdict: self.after_verdict as usize,
                 ..Violations::default()
             },
         }
     }
 
-    fn sum(&self, bad: bool) -> OfKind {
-        let mut sum = OfKind::default();
+    /// Sums the counts of the good kinds, or of the bad ones.
+    fn sum(&self, bad: bool) -> KindCounts {
+        let mut sum = KindCounts::default();
         for (_, kind) in self.kinds.iter().filter(|(kind, _)| kind.is_bad() == bad) {
             sum.moves += kind.moves;
             sum.done_in_time += kind.done_in_time;
@@ -138,8 +139,8 @@
 
 impl fmt::Display for Summary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (kind, of_kind) in &self.kinds {
-            writeln!(f, "{kind:?}: {of_kind:?}")?;
+        for (kind, counts) in &self.kinds {
+            writeln!(f, "{kind:?}: {counts:?}")?;
         }
         write!(f, "aborted: {}", self.aborted)
     }
@@ -153,7 +154,7 @@
 }
 
 fn quantile(sorted: &[u64], q: f64) -> u64 {
-    // Truncation picks the lower neighbour.
+    // Truncation selects the lower of two neighbours.
     let index = ((sorted.len().saturating_sub(1)) as f64 * q) as usize;
     sorted.get(index).copied().unwrap_or(0)
 }
--- a/crates/sycamore-bench/src/measure/moves/table.rs
+++ b/crates/sycamore-bench/src/measure/moves/table.rs
@@ -1,49 +1,52 @@
-//! The platform's table with one move's row, on faked time.
+//! Emulated platform table with the row of one move, on simulated time.
 
 use rand::rngs::SmallRng;
 use rand::Rng;
 use sycamore_moves::plan::{end, settle, Change, MoveRow, Outcome, Settled};
 
-/// What a writer learns.
+/// Answer to a write.
 #[derive(Debug)]
 pub enum Answer {
-    /// The row as it stands now.
+    /// The row after the write, with its revision.
     Row(Box<MoveRow>, u64),
-    /// Somebody else's outcome stands.
+    /// Another writer's outcome is recorded; this one's was not written.
     Conflict,
-    /// No answer; the write may have taken effect.
+    /// The answer was lost after the write took effect or failed.
     Lost,
-    /// The platform is out.
+    /// The platform is unavailable; nothing was written.
     Out,
 }
 
-/// One row with its revision.
+/// Table with one row, its revision and the faults of the platform.
 pub struct Table {
     row: MoveRow,
     revision: u64,
+    /// Time until which the platform is unavailable, in milliseconds.
     out_until_ms: u64,
+    /// Probability that an answer to a write is lost.
     lost_answers: f64,
-    /// Outcomes written; more than one breaks a promise.
+    /// Number of outcomes written; more than 1 means that an outcome was overwritten.
     pub outcomes_written: usize,
 }
 
 impl Table {
-    /// A table that is out until `out_until_ms` and loses this part of its answers.
+    /// Creates a table that is unavailable until `out_until_ms` and loses an answer to a write with
+    /// the probability `lost_answers`.
     pub fn new(row: MoveRow, out_until_ms: u64, lost_answers: f64) -> Self {
         Self { row, revision: 1, out_until_ms, lost_answers, outcomes_written: 0 }
     }
 
-    /// The row and its revision.
+    /// Reads the row and its revision; `None` while the platform is unavailable.
     pub fn read(&self, now_ms: u64) -> Option<(MoveRow, u64)> {
         (now_ms >= self.out_until_ms).then(|| (self.row.clone(), self.revision))
     }
 
-    /// The row, whether the platform is out or not.
+    /// Returns the row regardless of the platform's availability, for the observer of the trial.
     pub fn row(&self) -> &MoveRow {
         &self.row
     }
 
-    /// Writes `outcome` where `based_on` is still the revision.
+    /// Writes `outcome` if `based_on` is still the row's revision.
     pub fn write(
         &mut self,
         now_ms: u64,
--- a/crates/sycamore-bench/src/measure/moves/trial/mod.rs
+++ b/crates/sycamore-bench/src/measure/moves/trial/mod.rs
@@ -1,14 +1,14 @@
-//! One move on faked time: the product's state machines on emulated nodes, with traffic and faults.
+//! Simulation of one move: the product's state machines on emulated nodes, with traffic and faults.
 
 mod traffic;
 
 use super::baseline::Baseline;
-use super::bus::Bus;
+use super::bus::MessageQueue;
 use super::node::{Node, REPORT_MS, TICK_MS};
 use super::scenario::{Kind, Scenario};
 use super::setup;
 use super::table::{Answer, Table};
-use super::witness::{Witness, LOOK_MS};
+use super::witness::{Observer, VERDICT_INTERVAL_MS};
 use super::{Faults, Policy};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -18,17 +18,18 @@
 use sycamore_moves::plan::{Author, Change, MoveRow, Outcome, OutcomeKind as EndKind};
 use sycamore_types::prelude::*;
 
-/// Length of one round of the emulation, in milliseconds.
+/// Simulated time of one round, in milliseconds.
 const ROUND_MS: u64 = 20;
-/// Time that a trial goes on after the deadline, in milliseconds.
-const AFTER_MS: u64 = 60_000;
-/// Part of the messages that are lost, and that arrive twice.
+/// Longest time that a trial continues after the move's deadline, in milliseconds.
+const AFTER_DEADLINE_MS: u64 = 60_000;
+/// Probability that a report between nodes is lost; also that it arrives twice.
 const LOSS: f64 = 0.02;
-/// Time that a killed node process is gone, in milliseconds.
-const DEAD_MS: u64 = 1_500;
+/// Time from the kill of a node process until its restart, in milliseconds.
+const RESTART_DELAY_MS: u64 = 1_500;
 /// Time between two kills, in milliseconds.
-const KILL_MS: u64 = 8_000;
+const KILL_INTERVAL_MS: u64 = 8_000;
 
+/// Message in flight; an index is that of the node it arrives at, or of the row's writer.
 enum Message {
     Report(usize, Box<Report>),
     Fact(usize, Fact),
@@ -37,74 +38,86 @@
     End { writer: usize, outcome: Outcome, based_on: u64, op: OpId },
 }
 
-/// What came of a trial.
+/// Result of one trial.
 #[derive(Debug, Clone)]
 pub struct Trial {
-    /// What was the matter.
+    /// Scenario of the move.
     pub kind: Kind,
-    /// An operator aborted it.
+    /// Operators aborted the move.
     pub aborted: bool,
-    /// How it ended; `None` where that was not recorded by the end of the trial.
+    /// Outcome of the move; `None` if none was recorded by the end of the trial.
     pub outcome: Option<Outcome>,
-    /// Whether it ended by its deadline.
+    /// Whether the move ended by its deadline.
     pub in_time: bool,
-    /// Outcomes written to the table.
+    /// Number of outcomes written to the table.
     pub outcomes_written: usize,
-    /// Calls while the move was open.
+    /// Calls to the service while the move was open.
     pub calls: u64,
-    /// Calls that the new version got.
+    /// Calls of these that the new version got.
     pub calls_new: u64,
     /// Calls that the new version got later than a second after the evidence sufficed.
     pub after_evidence: u64,
     /// Calls that an instance of the new version admitted while its node held the verdict.
     pub after_verdict: u64,
-    /// From the first sign of badness to the last call that the new version got, in milliseconds.
+    /// Time from the first answer that was affected by the defect to the last call that the new
+    /// version got, in milliseconds; `None` if the version was not taken back.
     pub withdraw_ms: Option<u64>,
 }
 
 impl Trial {
-    /// Why a good version that nobody aborted was taken back, if it was.
-    pub fn false_reason(&self) -> Option<&str> {
+    /// Returns the reason for which a good version was taken back; `None` if it was not, if the
+    /// version is bad or if an operator aborted the move.
+    pub fn false_withdrawal_reason(&self) -> Option<&str> {
         let outcome = self.outcome.as_ref().filter(|_| !self.kind.is_bad() && !self.aborted)?;
         (outcome.kind == EndKind::TakenBack).then_some(outcome.reason.as_str())
     }
 }
 
-/// Runs one trial.
+/// Runs one trial of `scenario`; `seed` determines all its random choices.
 pub fn run(scenario: &Scenario, policy: Policy, faults: &Faults, seed: u64) -> Trial {
-    let mut world = World::new(scenario, policy, faults, seed);
-    let end = scenario.deadline_ms + AFTER_MS;
-    while world.now < end && !world.is_over() {
-        world.round();
+    let mut simulation = Simulation::new(scenario, policy, faults, seed);
+    let end = scenario.deadline_ms + AFTER_DEADLINE_MS;
+    while simulation.now < end && !simulation.is_over() {
+        simulation.round();
     }
-    world.trial()
+    simulation.result()
 }
 
-struct World<'a> {
+/// State of a trial. Times are in milliseconds since its start.
+struct Simulation<'a> {
     scenario: &'a Scenario,
     policy: Policy,
     faults: &'a Faults,
     rng: SmallRng,
     now: u64,
+    /// Nodes of the old version's instances, of the new version's, then those that callers speak
+    /// to.
     nodes: Vec<Node>,
-    bus: Bus<Message>,
+    queue: MessageQueue<Message>,
     table: Table,
+    /// Every fact raised so far; restarted nodes get them again.
     facts: Vec<Fact>,
-    witness: Option<Witness>,
+    observer: Option<Observer>,
     baseline: Baseline,
+    /// Time at which operators abort the move; `u64::MAX` after that, `None` if they don't.
     abort_at: Option<u64>,
+    /// Calls that are still to crash an instance of the new version in [`Kind::CrashRequest`].
     crash_requests: usize,
+    /// Number of outcome writes, from which operation identifiers are made.
     ops: u128,
     calls: u64,
     calls_new: u64,
     after_evidence: u64,
     after_verdict: u64,
-    shown_ms: Option<u64>,
+    /// Time of the first answer that was affected by the defect.
+    first_defect_ms: Option<u64>,
+    /// Time of the last call that the new version got.
     last_new_ms: u64,
-    owed: f64,
+    /// Calls that the rate has made due but that are not sent yet, as a fraction.
+    due_calls: f64,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(scenario: &'a Scenario, policy: Policy, faults: &'a Faults, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let row = setup::row(scenario);
@@ -114,9 +127,9 @@
         let abort_at = (faults.race && rng.random_bool(0.2))
             .then(|| rng.random_range(scenario.start_ms..scenario.deadline_ms));
         let members = nodes[..2 * scenario.instances].iter().map(|node| &node.member);
-        let witness = scenario.kind.is_bad().then(|| {
+        let observer = scenario.kind.is_bad().then(|| {
             let versions = (row.spec.from.clone(), row.spec.to.clone());
-            Witness::new(&row.spec.mv, members, versions)
+            Observer::new(&row.spec.mv, members, versions)
         });
         Self {
             scenario,
@@ -125,10 +138,10 @@
             rng,
             now: 0,
             nodes,
-            bus: Bus::default(),
+            queue: MessageQueue::default(),
             table: Table::new(row, out_until, lost),
             facts: Vec::new(),
-            witness,
+            observer,
             baseline: Baseline::default(),
             abort_at,
             crash_requests: if scenario.kind == Kind::CrashRequest { 2 } else { 0 },
@@ -137,9 +150,9 @@
             calls_new: 0,
             after_evidence: 0,
             after_verdict: 0,
-            shown_ms: None,
+            first_defect_ms: None,
             last_new_ms: 0,
-            owed: 0.0,
+            due_calls: 0.0,
         }
     }
 
@@ -150,9 +163,9 @@
                 self.baseline.withdrawn_ms.is_some() || self.now >= self.scenario.deadline_ms
             }
         };
-        // Nodes get some time to learn of the end.
+        // Nodes need some time to learn that the move has ended.
         ended && self.now > self.last_new_ms + 3_000
-            || self.now >= self.scenario.deadline_ms + AFTER_MS
+            || self.now >= self.scenario.deadline_ms + AFTER_DEADLINE_MS
     }
 
     fn round(&mut self) {
@@ -160,45 +173,48 @@
         self.traffic();
         self.finish();
         match self.policy {
-            Policy::Baseline => self.baseline.look(self.now),
+            Policy::Baseline => self.baseline.check(self.now),
             Policy::Product => self.control(),
         }
-        if self.now.is_multiple_of(LOOK_MS) {
-            if let Some(witness) = &mut self.witness {
-                witness.look(self.now);
+        if self.now.is_multiple_of(VERDICT_INTERVAL_MS) {
+            if let Some(observer) = &mut self.observer {
+                observer.evaluate(self.now);
             }
         }
     }
 
     fn control(&mut self) {
-        self.kill();
-        self.abort();
-        while let Some(message) = self.bus.take(self.now) {
+        self.kill_and_restart();
+        self.abort_if_due();
+        while let Some(message) = self.queue.take(self.now) {
             self.deliver(message);
         }
         for index in 0..self.nodes.len() {
-            self.tend(index);
+            self.run_timers(index);
         }
     }
 
-    fn tend(&mut self, index: usize) {
+    /// Passes the inputs that are due to the node with the given index.
+    fn run_timers(&mut self, index: usize) {
         if self.now < self.nodes[index].dead_until_ms {
             return;
         }
-        // Nodes don't act in step.
+        // Offsets the nodes' timers, which don't run in step in reality either.
         let phase = (self.now + 40 * index as u64) / ROUND_MS;
         if phase.is_multiple_of(500 / ROUND_MS) {
             let input = setup::peers(&self.nodes[..2 * self.scenario.instances], self.now);
-            self.feed(index, input);
+            self.step_control(index, input);
         }
         if phase.is_multiple_of(REPORT_MS / ROUND_MS) {
             self.report(index);
         }
         if phase.is_multiple_of(TICK_MS / ROUND_MS) {
-            self.feed(index, Input::Tick);
+            self.step_control(index, Input::Tick);
         }
     }
 
+    /// Sends the evidence report of a node to the nodes that merge reports; only its own copy is
+    /// never lost or delayed.
     fn report(&mut self, index: usize) {
         if index >= 2 * self.scenario.instances {
             return;
@@ -212,13 +228,14 @@
             }
             let report = Box::new(report.clone());
             if to == index {
-                self.bus.send(self.now, Message::Report(to, report));
+                self.queue.send(self.now, Message::Report(to, report));
             } else {
                 self.send(1..60, || Message::Report(to, report.clone()));
             }
         }
     }
 
+    /// Sends a message with a random delay in milliseconds; it may be lost or arrive twice.
     fn send(&mut self, delay: std::ops::Range<u64>, message: impl Fn() -> Message) {
         let copies = match self.rng.random::<f64>() {
             draw if draw < LOSS => 0,
@@ -227,58 +244,60 @@
         };
         for _ in 0..copies {
             let at = self.now + self.rng.random_range(delay.clone());
-            self.bus.send(at, message());
+            self.queue.send(at, message());
         }
     }
 
-    fn feed(&mut self, index: usize, input: Input) {
+    /// Passes `input` to the control of a node, unless the node is down, and carries out its
+    /// actions.
+    fn step_control(&mut self, index: usize, input: Input) {
         if self.now < self.nodes[index].dead_until_ms {
             return;
         }
         for action in self.nodes[index].step(self.now, input) {
             match action {
                 Action::Raise(fact) => {
-                    self.show_step(&fact);
-                    self.spread(index, &fact);
+                    self.observe_step(&fact);
+                    self.broadcast(index, &fact);
                 }
-                Action::ReadRegistry => self.bus.send(self.now + 10, Message::Registry(index)),
+                Action::ReadRegistry => self.queue.send(self.now + 10, Message::Registry(index)),
                 Action::End { outcome, revision } => {
                     self.ops += 1;
                     let at = self.now + self.rng.random_range(2..20);
                     let op = OpId(self.ops);
                     let end = Message::End { writer: index, outcome, based_on: revision, op };
-                    self.bus.send(at, end);
+                    self.queue.send(at, end);
                 }
             }
         }
     }
 
-    /// The observer starts its proof of a step when the nodes do.
-    fn show_step(&mut self, fact: &Fact) {
-        if let (Fact::Cleared { .. }, Some(witness)) = (fact, &mut self.witness) {
-            witness.open_step(self.now);
+    /// Starts the observer's evidence of a new step when the nodes have cleared the one before.
+    fn observe_step(&mut self, fact: &Fact) {
+        if let (Fact::Cleared { .. }, Some(observer)) = (fact, &mut self.observer) {
+            observer.open_step(self.now);
         }
     }
 
-    /// Spreads a fact; gossip makes up for losses.
-    fn spread(&mut self, from: usize, fact: &Fact) {
+    /// Sends `fact` to all other nodes without loss, since gossip repeats what was lost.
+    fn broadcast(&mut self, from: usize, fact: &Fact) {
         self.facts.push(fact.clone());
         for to in (0..self.nodes.len()).filter(|to| *to != from) {
             let at = self.now + self.rng.random_range(5..400);
-            self.bus.send(at, Message::Fact(to, fact.clone()));
+            self.queue.send(at, Message::Fact(to, fact.clone()));
         }
     }
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Report(to, report) => self.feed(to, Input::Report(report)),
-            Message::Fact(to, fact) => self.feed(to, Input::Fact(fact)),
-            Message::Row(to, row, revision) => self.feed(to, Input::Row { row, revision }),
+            Message::Report(to, report) => self.step_control(to, Input::Report(report)),
+            Message::Fact(to, fact) => self.step_control(to, Input::Fact(fact)),
+            Message::Row(to, row, revision) => self.step_control(to, Input::Row { row, revision }),
             Message::Registry(to) => {
                 if self.table.read(self.now).is_some() {
                     let service = &self.nodes[..2 * self.scenario.instances];
                     let peers = service.iter().map(Node::peer).collect();
-                    self.feed(to, Input::Registry(peers));
+                    self.step_control(to, Input::Registry(peers));
                 }
             }
             Message::End { writer, outcome, based_on, op } => {
@@ -287,27 +306,29 @@
         }
     }
 
+    /// Writes the outcome that the node `writer` has decided, and sends the recorded row to all
+    /// nodes.
     fn end(&mut self, writer: usize, outcome: Outcome, based_on: u64, op: OpId) {
         let author = Author::Node(self.nodes[writer].member.instance.clone());
         let change = Change { author, op, at: WallTime(self.now) };
         let answer = self.table.write(self.now, outcome, based_on, change, &mut self.rng);
-        let learnt = match answer {
+        let recorded = match answer {
             Answer::Row(row, revision) => Some((*row, revision)),
-            // Read back; what stands is learnt in either case.
+            // The writer reads the row back, and learns the recorded outcome in either case.
             Answer::Conflict | Answer::Lost => self.table.read(self.now),
             Answer::Out => None,
         };
-        if let Some((row, revision)) = learnt {
+        if let Some((row, revision)) = recorded {
             for to in 0..self.nodes.len() {
                 let delay = if to == writer { 1 } else { self.rng.random_range(5..400) };
                 let message = Message::Row(to, Box::new(row.clone()), revision);
-                self.bus.send(self.now + delay, message);
+                self.queue.send(self.now + delay, message);
             }
         }
     }
 
-    /// Two operators abort the move at the same moment, each by a node of their own.
-    fn abort(&mut self) {
+    /// Lets two operators abort the move at the same moment, each at another node.
+    fn abort_if_due(&mut self) {
         if self.abort_at.is_none_or(|at| self.now < at) {
             return;
         }
@@ -320,12 +341,14 @@
             at: Stamp { wall: WallTime(self.now), logical: 0 },
         };
         for index in [0, 1] {
-            self.spread(index, &fact);
-            self.feed(index, Input::Fact(fact.clone()));
+            self.broadcast(index, &fact);
+            self.step_control(index, Input::Fact(fact.clone()));
         }
     }
 
-    fn kill(&mut self) {
+    /// Restarts killed nodes whose time has come, and kills a random one every
+    /// [`KILL_INTERVAL_MS`].
+    fn kill_and_restart(&mut self) {
         if !self.faults.kill || self.now < self.scenario.start_ms {
             return;
         }
@@ -335,18 +358,18 @@
             if node.dead_until_ms != 0 && self.now >= node.dead_until_ms {
                 node.restart(&row, self.now);
                 for fact in &self.facts {
-                    self.bus.send(self.now + 300, Message::Fact(index, fact.clone()));
+                    self.queue.send(self.now + 300, Message::Fact(index, fact.clone()));
                 }
             }
         }
-        if self.now.is_multiple_of(KILL_MS) {
+        if self.now.is_multiple_of(KILL_INTERVAL_MS) {
             let victim = self.rng.random_range(0..2 * self.scenario.instances);
-            self.nodes[victim].dead_until_ms = self.now + DEAD_MS;
+            self.nodes[victim].dead_until_ms = self.now + RESTART_DELAY_MS;
             self.nodes[victim].running.clear();
         }
     }
 
-    fn trial(self) -> Trial {
+    fn result(self) -> Trial {
         let deadline = WallTime(self.scenario.deadline_ms);
         let outcome = match self.policy {
             Policy::Product => self.table.row().outcome.clone(),
@@ -364,7 +387,7 @@
             after_evidence: self.after_evidence,
             after_verdict: self.after_verdict,
             withdraw_ms: self
-                .shown_ms
+                .first_defect_ms
                 .filter(|_| withdrawn)
                 .map(|shown| self.last_new_ms.saturating_sub(shown)),
         }
--- a/crates/sycamore-bench/src/measure/moves/trial/traffic.rs
+++ b/crates/sycamore-bench/src/measure/moves/trial/traffic.rs
@@ -1,17 +1,18 @@
-//! Calls of a trial: to which version, to which instance, and how they end.
+//! Traffic of a trial: choice of version and instance for each call, and the calls' ends.
 
 use super::super::setup::{self, CALLER_NODES};
 use super::super::upstream::{answer, Call};
 use super::super::Policy;
-use super::{World, ROUND_MS};
+use super::{Simulation, ROUND_MS};
 use rand::Rng;
 use sycamore_types::prelude::*;
 
-impl World<'_> {
+impl Simulation<'_> {
+    /// Sends the calls that are due in this round, each from a random caller.
     pub(super) fn traffic(&mut self) {
-        self.owed += self.scenario.rate * ROUND_MS as f64 / 1_000.0;
-        while self.owed >= 1.0 {
-            self.owed -= 1.0;
+        self.due_calls += self.scenario.rate * ROUND_MS as f64 / 1_000.0;
+        while self.due_calls >= 1.0 {
+            self.due_calls -= 1.0;
             let caller = self.rng.random_range(0..self.scenario.callers);
             self.call(caller);
         }
@@ -40,19 +41,20 @@
         self.start(index, &call);
     }
 
-    /// The share that the node applies which `caller` speaks to.
+    /// Returns the new version's share that the node which `caller` speaks to applies.
     fn share(&self, caller: u64) -> Share {
         match self.policy {
             Policy::Baseline => self.baseline.share(self.scenario, self.now),
             Policy::Product => {
-                // There are few caller nodes, so the conversion loses nothing.
+                // The cast loses nothing: callers are counted in tens.
                 let index = 2 * self.scenario.instances + (caller as usize) % CALLER_NODES;
                 self.nodes[index].control.split(WallTime(self.now)).to
             }
         }
     }
 
-    /// A node that admits a call; one that holds a verdict refuses, and the call goes elsewhere.
+    /// Returns the index of a random node of the version that admits a call. Nodes that are down or
+    /// refuse because of a verdict are skipped.
     fn pick(&mut self, is_new: bool) -> Option<usize> {
         let instances = self.scenario.instances;
         let first = if is_new { instances } else { 0 };
@@ -65,12 +67,13 @@
         })
     }
 
+    /// Counts a call that the new version got on the node with the given index.
     fn count_new(&mut self, index: usize) {
         self.last_new_ms = self.now;
         if self.policy == Policy::Product && self.nodes[index].control.is_withdrawn() {
             self.after_verdict += 1;
         }
-        let sufficed = self.witness.as_ref().and_then(|witness| witness.sufficed_ms);
+        let sufficed = self.observer.as_ref().and_then(|observer| observer.sufficed_ms);
         if sufficed.is_some_and(|at| self.now > at + 1_000) {
             self.after_evidence += 1;
         }
@@ -78,15 +81,15 @@
 
     fn start(&mut self, index: usize, call: &Call) {
         let answer = answer(self.scenario, call, &mut self.rng);
-        if answer.shows {
-            self.shown_ms.get_or_insert(self.now);
+        if answer.shows_defect {
+            self.first_defect_ms.get_or_insert(self.now);
         }
         let mut crash = answer.crash;
         if self.crash_requests > 0 && call.is_new && self.now > self.scenario.start_ms + 5_000 {
             self.crash_requests -= 1;
             crash = true;
         }
-        // A latency is at most the call limit, a few seconds.
+        // The cast loses nothing: a latency is at most the call timeout, a few seconds.
         let ends_ms = self.now + (answer.latency.as_millis() as u64).max(1);
         let member = &self.nodes[index].member;
         let outcome = CallOutcome {
@@ -101,6 +104,7 @@
         self.nodes[index].running.push(super::super::node::Running { ends_ms, outcome, crash });
     }
 
+    /// Ends the calls that are due and passes their outcomes to the observer and the baseline.
     pub(super) fn finish(&mut self) {
         for index in 0..2 * self.scenario.instances {
             let node = &mut self.nodes[index];
@@ -109,8 +113,8 @@
             let crashed = was_up && !node.is_up(self.now);
             let (is_new, instance) = (node.is_new, node.member.instance.clone());
             for (nth, outcome) in outcomes.iter().enumerate() {
-                if let Some(witness) = &mut self.witness {
-                    witness.record(self.now, &instance, outcome, crashed && nth == 0);
+                if let Some(observer) = &mut self.observer {
+                    observer.record(self.now, &instance, outcome, crashed && nth == 0);
                 }
                 if is_new {
                     self.baseline.record(self.now, outcome.kind);
--- a/crates/sycamore-bench/src/measure/moves/upstream.rs
+++ b/crates/sycamore-bench/src/measure/moves/upstream.rs
@@ -1,4 +1,4 @@
-//! How emulated upstreams of both versions answer, on faked time.
+//! Answers of emulated upstreams of both versions, on simulated time.
 
 use super::scenario::{Kind, Scenario};
 use rand::rngs::SmallRng;
@@ -6,44 +6,44 @@
 use std::time::Duration;
 use sycamore_types::prelude::*;
 
-/// Time that a crashed upstream is down, in milliseconds.
+/// Time from a crash of an upstream until it is up again, in milliseconds.
 pub const DOWN_MS: u64 = 2_000;
-/// Time that an instance of a version with cold starts is cold, in milliseconds.
+/// Time after a move's start for which a version with cold starts is cold, in milliseconds.
 const COLD_MS: u64 = 8_000;
-/// Deadline of every call.
-const CALL_LIMIT: Duration = Duration::from_millis(2_000);
+/// Timeout of every call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// A call to be answered.
+/// Call to an emulated upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Call {
-    /// Index of its route.
+    /// Index of the call's route.
     pub route: usize,
-    /// Index of its caller.
+    /// Index of the call's caller.
     pub caller: u64,
-    /// Whether it runs on the new version.
+    /// Whether the call runs on the new version.
     pub is_new: bool,
-    /// When, in milliseconds.
+    /// Time of the call, in milliseconds.
     pub at_ms: u64,
-    /// Calls a second that its instance had of late.
+    /// Recent load of the instance before the call, in calls a second.
     pub load: f64,
 }
 
-/// What becomes of a call.
+/// Result of a call to an emulated upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Answer {
-    /// How it ends.
+    /// How the call ends.
     pub kind: OutcomeKind,
-    /// How long that takes.
+    /// Time until the call ends.
     pub latency: Duration,
-    /// The upstream was cold.
+    /// The upstream was in its cold start.
     pub cold: bool,
     /// The upstream crashes instead of answering.
     pub crash: bool,
-    /// The answer shows what is wrong with the version.
-    pub shows: bool,
+    /// The answer is affected by the version's defect.
+    pub shows_defect: bool,
 }
 
-/// Answers `call`.
+/// Draws the answer to `call` under `scenario`.
 pub fn answer(scenario: &Scenario, call: &Call, rng: &mut SmallRng) -> Answer {
     let mut latency_ms = scenario.latency_ms * lognormal(rng);
     let mut kind = OutcomeKind::Ok;
@@ -61,55 +61,57 @@
         latency_ms *= 20.0;
         cold = true;
     }
-    let mut shows = false;
+    let mut shows_defect = false;
     let mut crash = false;
     if call.is_new && scenario.kind.is_bad() {
-        match badness(scenario, call, rng) {
-            Badness::None => {}
-            Badness::Slow(factor) => {
+        match draw_defect(scenario, call, rng) {
+            Defect::None => {}
+            Defect::Slow(factor) => {
                 latency_ms *= factor;
-                shows = true;
+                shows_defect = true;
             }
-            Badness::Ends(end) => {
+            Defect::Ends(end) => {
                 kind = end;
-                shows = true;
+                shows_defect = true;
             }
-            Badness::Crash => {
+            Defect::Crash => {
                 crash = true;
-                shows = true;
+                shows_defect = true;
             }
         }
     }
     let latency = Duration::from_secs_f64(latency_ms / 1_000.0);
-    let (kind, latency) = match latency > CALL_LIMIT || kind == OutcomeKind::TimedOut {
-        true => (OutcomeKind::TimedOut, CALL_LIMIT),
+    let (kind, latency) = match latency > CALL_TIMEOUT || kind == OutcomeKind::TimedOut {
+        true => (OutcomeKind::TimedOut, CALL_TIMEOUT),
         false => (kind, latency),
     };
-    Answer { kind, latency, cold, crash, shows }
+    Answer { kind, latency, cold, crash, shows_defect }
 }
 
-enum Badness {
+/// Effect of the new version's defect on one call.
+enum Defect {
     None,
+    /// Multiplies the latency by the factor.
     Slow(f64),
     Ends(OutcomeKind),
     Crash,
 }
 
-fn badness(scenario: &Scenario, call: &Call, rng: &mut SmallRng) -> Badness {
+fn draw_defect(scenario: &Scenario, call: &Call, rng: &mut SmallRng) -> Defect {
     let degree = scenario.degree;
     match scenario.kind {
-        Kind::FailsAtOnce if rng.random_bool(degree) => Badness::Ends(OutcomeKind::Failed),
+        Kind::FailsAtOnce if rng.random_bool(degree) => Defect::Ends(OutcomeKind::Failed),
         Kind::FailsLater if call.at_ms >= scenario.onset_ms && rng.random_bool(degree) => {
-            Badness::Ends(OutcomeKind::Failed)
+            Defect::Ends(OutcomeKind::Failed)
         }
         Kind::BadRoute if call.route == 0 && rng.random_bool(degree) => {
-            Badness::Ends(OutcomeKind::Failed)
+            Defect::Ends(OutcomeKind::Failed)
         }
-        Kind::SlowAtOnce => Badness::Slow(degree),
-        Kind::SlowUnderLoad if call.load > scenario.load_threshold => Badness::Slow(degree),
-        Kind::Crashes if rng.random_bool(degree) => Badness::Crash,
-        Kind::WrongStatus if call.caller == 0 => Badness::Ends(OutcomeKind::Rejected),
-        _ => Badness::None,
+        Kind::SlowAtOnce => Defect::Slow(degree),
+        Kind::SlowUnderLoad if call.load > scenario.load_threshold => Defect::Slow(degree),
+        Kind::Crashes if rng.random_bool(degree) => Defect::Crash,
+        Kind::WrongStatus if call.caller == 0 => Defect::Ends(OutcomeKind::Rejected),
+        _ => Defect::None,
     }
 }
 
@@ -121,7 +123,7 @@
     at_ms < scenario.start_ms + COLD_MS
 }
 
-/// A factor with median 1 and a tail, from the sum of uniform draws.
+/// Draws an approximately log-normal factor with median 1, from a sum of uniform draws.
 fn lognormal(rng: &mut SmallRng) -> f64 {
     let normal: f64 = (0..6).map(|_| rng.random_range(-1.0..1.0_f64)).sum::<f64>() / 1.414;
     (0.4 * normal).exp()
--- a/crates/sycamore-bench/src/measure/moves/witness.rs
+++ b/crates/sycamore-bench/src/measure/moves/witness.rs
@@ -1,26 +1,28 @@
-//! An observer that sees every outcome at once: it tells when the evidence sufficed.
+//! Observer that sees every outcome without delay, to find when the evidence against a version
+//! sufficed.
 
 use std::collections::BTreeMap;
 use sycamore_moves::evidence::{Collector, CollectorOptions, Ledger};
 use sycamore_moves::verdict::{Judge, JudgeOptions};
 use sycamore_types::prelude::*;
 
-/// Time between two looks, in milliseconds; the nodes look every 200.
-pub const LOOK_MS: u64 = 100;
+/// Time between two verdicts of the observer, in milliseconds; the nodes reach theirs every 200 ms.
+pub const VERDICT_INTERVAL_MS: u64 = 100;
 
-/// Judges with every outcome at hand, by the same rules as the nodes.
-pub struct Witness {
+/// Observer with all outcomes at hand that applies the same verdict rules as the nodes.
+pub struct Observer {
     collectors: BTreeMap<InstanceId, Collector>,
     ledger: Ledger,
     judge: Judge,
     from: UpstreamVersion,
     to: UpstreamVersion,
-    /// When the evidence sufficed, in milliseconds.
+    /// Time of the first verdict, in milliseconds; `None` before it.
     pub sufficed_ms: Option<u64>,
 }
 
-impl Witness {
-    /// An observer of the instances `members`.
+impl Observer {
+    /// Creates an observer of the instances `members` for a move between the versions `from` and
+    /// `to`.
     pub fn new<'a>(
         mv: &MoveId,
         members: impl Iterator<Item = &'a Member>,
@@ -35,7 +37,7 @@
         Self { collectors, ledger: Ledger::default(), judge, from, to, sufficed_ms: None }
     }
 
-    /// Sees an outcome.
+    /// Records the outcome of a call on `instance`, and the upstream's crash if there was one.
     pub fn record(&mut self, ms: u64, instance: &InstanceId, outcome: &CallOutcome, crash: bool) {
         if let Some(collector) = self.collectors.get_mut(instance) {
             collector.record(Time::from_millis(ms), outcome);
@@ -45,13 +47,13 @@
         }
     }
 
-    /// A step of the schedule was cleared.
+    /// Starts the evidence of a new step of the schedule.
     pub fn open_step(&mut self, ms: u64) {
         self.judge.open_step(Time::from_millis(ms));
     }
 
-    /// Judges what it has seen.
-    pub fn look(&mut self, ms: u64) {
+    /// Evaluates the recorded evidence, until a verdict is reached.
+    pub fn evaluate(&mut self, ms: u64) {
         if self.sufficed_ms.is_some() {
             return;
         }
--- a/crates/sycamore-bench/src/measure/overload.rs
+++ b/crates/sycamore-bench/src/measure/overload.rs
@@ -32,8 +32,8 @@
     pub depth: usize,
     /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// `node`, or `baseline`: callers bypass the nodes, pick upstreams round robin and retry a failed
-    /// call up to three times.
+    /// `node`, or `baseline`: callers bypass the nodes, pick upstreams round robin and retry a
+    /// failed call up to three times.
     pub policy: String,
 }
 
