--- a/crates/sycamore-bench/src/demo/mod.rs
+++ b/crates/sycamore-bench/src/demo/mod.rs
@@ -1,5 +1,6 @@
-//! The demonstration: both deployments at today's sizes with mixed calls, a change of the
-//! configuration, and a sheet with a good and a bad move, which must end done and taken back.
+//! The `demo` command: runs both deployments at their current sizes under mixed calls, changes the
+//! configuration, and imports a sheet with a good move, which must be done, and a bad move, which
+//! must be taken back.
 
 mod moves;
 mod print;
@@ -14,35 +15,36 @@
 use crate::{BenchError, Result};
 use error_stack::Report;
 use futures::future::{join, select, try_join, Either};
-use moves::{Ending, Morning};
+use moves::{DemoMoves, Ending};
 use std::cell::Cell;
 use std::pin::pin;
 use std::time::{Duration, Instant};
 
-/// Options of the demonstration.
+/// Options of `demo`.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Seed of everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Settings and logs are kept.
+    /// Keep the nodes' settings and logs after the run.
     pub keep: bool,
 }
 
-/// Longest time that the demonstration may take before it is ended.
+/// Longest time that the demonstration may run before its processes are killed.
 const LIMIT: Duration = Duration::from_secs(100);
-/// Calls a second to each deployment.
-const RATE: f64 = 400.0;
-/// Time that load may run at most.
-const LOAD_TIME: Duration = Duration::from_secs(80);
-/// Time that work may still reach an upstream that leaves, in microseconds.
+/// Rate of the mixed load on each deployment, in calls a second.
+const RATE_PER_S: f64 = 400.0;
+/// Longest time that the load runs; it ends earlier with the moves.
+const LOAD_LIMIT: Duration = Duration::from_secs(80);
+/// Longest time after the start of an upstream's drain in which requests may reach it, in
+/// microseconds.
 const DRAIN_ALLOWED_US: u64 = 3_000_000;
-/// Time that work may still reach a version found bad, in microseconds.
+/// Longest time after a verdict in which requests may reach the bad version, in microseconds.
 const VERDICT_ALLOWED_US: u64 = 1_000_000;
 
-/// Runs it.
+/// Runs the demonstration and prints its progress and results.
 ///
 /// # Errors
-/// Where it could not be carried out, or did not end as it must.
+/// It could not be carried out, a move ended otherwise than expected, or a guarantee was violated.
 pub async fn run(options: Options) -> Result<()> {
     let _limit = guard::limit_run(LIMIT);
     let start = Instant::now();
@@ -55,30 +57,34 @@
     monoio::time::sleep(KEY_MEMORY + SHORT_VIEW_LAG).await;
     let done = Cell::new(false);
     let watch = ConfigWatch::default();
-    let morning = async {
-        let ended = moves::run(&zlatna_klupa, &watch).await;
+    let run_moves = async {
+        let result = moves::run(&zlatna_klupa, &watch).await;
         done.set(true);
-        ended
+        result
     };
-    let (ended, (first, second)) = join(
-        morning,
+    let (moves, (first, second)) = join(
+        run_moves,
         join(
-            beside(&zlatna_klupa, Some(&watch), load_until(&zlatna_klupa, options.seed, &done)),
-            beside(&sutokatha, None, load_until(&sutokatha, options.seed + 1, &done)),
+            run_with_upkeep(
+                &zlatna_klupa,
+                Some(&watch),
+                load_until(&zlatna_klupa, options.seed, &done),
+            ),
+            run_with_upkeep(&sutokatha, None, load_until(&sutokatha, options.seed + 1, &done)),
         ),
     )
     .await;
     let (first, second) = (first?, second?);
-    let morning = ended?;
-    let mut violations = checked(&zlatna_klupa, &first, &watch).await;
-    violations += checked(&sutokatha, &second, &ConfigWatch::default()).await;
+    let moves = moves?;
+    let mut violations = count_violations(&zlatna_klupa, &first, &watch).await;
+    violations += count_violations(&sutokatha, &second, &ConfigWatch::default()).await;
     let ledger = zlatna_klupa.witness().ledger().await;
-    violations.work_after_verdict += morning.runs_after_verdict(&ledger, VERDICT_ALLOWED_US);
+    violations.work_after_verdict += moves.runs_after_verdict(&ledger, VERDICT_ALLOWED_US);
     print::calls(&[(&zlatna_klupa, &first), (&sutokatha, &second)]);
-    print::moves(&morning, &ledger);
+    print::moves(&moves, &ledger);
     print::end(&violations, start.elapsed());
     join(zlatna_klupa.stop(), sutokatha.stop()).await;
-    verdict(&morning, &violations)
+    check_outcome(&moves, &violations)
 }
 
 fn fleet_options(options: &Options, deployment: Deployment) -> FleetOptions {
@@ -96,12 +102,12 @@
     }
 }
 
-/// Mixed calls to `fleet` until `done`.
+/// Sends mixed calls to the nodes of `fleet` until `done` is set or [`LOAD_LIMIT`] has passed.
 async fn load_until(fleet: &Fleet, seed: u64, done: &Cell<bool>) -> Result<Tally> {
     let load = load::Options {
         seed,
-        rate: RATE,
-        time: LOAD_TIME,
+        rate: RATE_PER_S,
+        time: LOAD_LIMIT,
         targets: callers_of(fleet)?,
         kinds: kinds(&fleet.options().deployment),
         ..load::Options::default()
@@ -109,13 +115,13 @@
     Ok(load::run_until(&load, || done.get()).await)
 }
 
-/// Runs `work` while the fleet is tended and watched.
-async fn beside<T>(
+/// Runs `work` with the upkeep of `fleet`, and with `watch` if given, until `work` ends.
+async fn run_with_upkeep<T>(
     fleet: &Fleet,
     watch: Option<&ConfigWatch>,
     work: impl std::future::Future<Output = Result<T>>,
 ) -> Result<T> {
-    let tend = async {
+    let upkeep = async {
         match watch {
             Some(watch) => {
                 join(fleet.tend(), watch.run(fleet)).await;
@@ -123,13 +129,17 @@
             None => fleet.tend().await,
         }
     };
-    match select(pin!(work), pin!(tend)).await {
+    match select(pin!(work), pin!(upkeep)).await {
         Either::Left((result, _)) => result,
-        Either::Right(_) => Err(Report::new(BenchError::Unmet("the fleet's care ended".into()))),
+        Either::Right(_) => Err(Report::new(BenchError::Unmet(
+            "the fleet upkeep ended before the demonstration did".into(),
+        ))),
     }
 }
 
-async fn checked(fleet: &Fleet, tally: &Tally, watch: &ConfigWatch) -> Violations {
+/// Counts the violations that callers' answers, the upstreams' ledger and the configuration `watch`
+/// show.
+async fn count_violations(fleet: &Fleet, tally: &Tally, watch: &ConfigWatch) -> Violations {
     let ledger = fleet.witness().ledger().await;
     let mut violations = tally.violations(&ledger);
     violations += watch.violations();
@@ -137,14 +147,17 @@
     violations
 }
 
-fn verdict(morning: &Morning, violations: &Violations) -> Result<()> {
+/// Fails unless the good move was done in time, the bad one taken back, and no guarantee violated.
+fn check_outcome(moves: &DemoMoves, violations: &Violations) -> Result<()> {
     let unmet = |what: String| Err(Report::new(BenchError::Unmet(what)));
-    match (morning.good.ending, morning.bad.ending) {
-        (Ending::Done, Ending::TakenBack) if !morning.good.in_time() => {
-            unmet("the good move was done after its deadline".into())
+    match (moves.good.ending, moves.bad.ending) {
+        (Ending::Done, Ending::TakenBack) if !moves.good.in_time() => {
+            unmet("the good move was done after its deadline, expected before".into())
         }
         (Ending::Done, Ending::TakenBack) if violations.total() == 0 => Ok(()),
-        (Ending::Done, Ending::TakenBack) => unmet(format!("promises broken: {violations:?}")),
-        (good, bad) => unmet(format!("the good move is {good}, the bad one {bad}")),
+        (Ending::Done, Ending::TakenBack) => unmet(format!("guarantees violated: {violations:?}")),
+        (good, bad) => unmet(format!(
+            "the good move is {good}, expected done; the bad one is {bad}, expected taken back"
+        )),
     }
 }
--- a/crates/sycamore-bench/src/demo/moves.rs
+++ b/crates/sycamore-bench/src/demo/moves.rs
@@ -1,4 +1,5 @@
-//! The sheet's way to its report.
+//! The moves of the demonstration: applies a configuration, starts the new versions, imports a
+//! sheet and polls its report.
 
 use crate::fleet::{ConfigWatch, Fleet};
 use crate::stand_in::upstream::{self, Badness};
@@ -10,29 +11,29 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// The plan's name.
+/// Name of the plan that the sheet is imported as.
 const PLAN: &str = "morning";
-/// The new version of both moves.
+/// Version that both moves lead to.
 const NEW_VERSION: &str = "2.0.0";
-/// Seconds from the import to both moves' deadline.
+/// Time from the import until both moves' deadline, in seconds.
 const WINDOW_S: i64 = 32;
-/// Watch period of both moves.
+/// Watch period of both moves, as written in the sheet.
 const WATCH: &str = "6s";
-/// Time between two looks at the report.
-const LOOK: Duration = Duration::from_millis(500);
-/// Time after the deadline for which the report is still asked.
+/// Time between two queries of the report.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after the deadline for which the report is still polled.
 const AFTER_DEADLINE: Duration = Duration::from_secs(6);
-/// Upstreams of the bad version.
+/// Number of upstreams that run the bad version.
 const BAD_UPSTREAMS: usize = 2;
 
-/// How a move ended.
+/// State of a move as last reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// The new version has taken over.
+    /// The new version gets all traffic.
     Done,
-    /// The new version has lost its traffic.
+    /// The new version gets no traffic.
     TakenBack,
-    /// Neither is known.
+    /// No outcome is reported yet.
     Open,
 }
 
@@ -46,24 +47,24 @@
     }
 }
 
-/// One move and what was reported of it.
+/// Move of the demonstration with its last report.
 #[derive(Debug, Clone)]
 pub struct Move {
-    /// Its name.
+    /// Name of the move in the sheet.
     pub name: &'static str,
-    /// Its service.
+    /// Service whose version the move changes.
     pub service: &'static str,
-    /// How its new version is bad.
+    /// Defect of the new version's upstreams.
     pub badness: Badness,
-    /// How it ended.
+    /// State as last reported.
     pub ending: Ending,
-    /// Its last report.
+    /// Move's entry in the last report; null before the first.
     pub report: Value,
 }
 
-/// What was done and came of it.
+/// The two moves of the demonstration.
 #[derive(Debug, Clone)]
-pub struct Morning {
+pub struct DemoMoves {
     /// The good move.
     pub good: Move,
     /// The bad move.
@@ -71,14 +72,15 @@
 }
 
 impl Move {
-    /// Whether its report says that it was decided by its deadline.
+    /// Returns whether the report says that the move was decided by its deadline.
     pub fn in_time(&self) -> bool {
         self.report["in_time"] == true
     }
 }
 
-impl Morning {
-    /// Runs on the bad version that began more than `allowed_us` after the verdict.
+impl DemoMoves {
+    /// Counts the requests that began on the bad version more than `allowed_us` microseconds after
+    /// the verdict; 0 without a verdict.
     pub fn runs_after_verdict(&self, ledger: &Ledger, allowed_us: u64) -> usize {
         let Some(decided_ms) = self.bad.report["decided"].as_u64() else { return 0 };
         let latest = decided_ms * 1_000 + allowed_us;
@@ -86,7 +88,8 @@
         runs.filter(|run| run.at_us > latest).count()
     }
 
-    /// Runs of `mv`'s service in all and on its new version, since it began.
+    /// Counts the requests that began on `mv`'s service since the move's start: on all versions,
+    /// and on the new version.
     pub fn runs(mv: &Move, ledger: &Ledger) -> (usize, usize) {
         let start = mv.report["start"].as_u64().unwrap_or(0) * 1_000;
         let all = ledger.sightings().iter().filter(|s| {
@@ -99,33 +102,35 @@
     }
 }
 
-/// Applies a configuration, starts the new versions, imports the sheet and follows its report.
+/// Applies a configuration, starts the new versions, imports the sheet and polls its report until
+/// both moves have an outcome or the wait is over.
 ///
 /// # Errors
-/// Where a command is refused or the fleet does not get ready.
-pub async fn run(fleet: &Fleet, watch: &ConfigWatch) -> Result<Morning> {
+/// A command was refused, or the fleet did not become ready.
+pub async fn run(fleet: &Fleet, watch: &ConfigWatch) -> Result<DemoMoves> {
     monoio::time::sleep(Duration::from_secs(1)).await;
     let (config, converged) = change_config(fleet, watch).await?;
-    println!("configuration {config} in force on every node after {converged:.1?} at most");
-    let good = mv("counter-2", "counter", Badness::None);
-    let bad = mv("intake-2", "intake", Badness::FailsAtOnce);
-    start_new(fleet, &good, fleet.of_service(good.service).len())?;
-    start_new(fleet, &bad, BAD_UPSTREAMS)?;
+    println!("configuration {config} applied on every node within {converged:.1?}");
+    let good = new_move("counter-2", "counter", Badness::None);
+    let bad = new_move("intake-2", "intake", Badness::FailsAtOnce);
+    start_new_version(fleet, &good, fleet.of_service(good.service).len())?;
+    start_new_version(fleet, &bad, BAD_UPSTREAMS)?;
     fleet.wait_ready().await?;
     fleet.wait_members().await?;
     println!("new versions run: counter {NEW_VERSION} (good), intake {NEW_VERSION} (bad)");
     let imported = Instant::now();
-    import(fleet).await?;
-    let mut morning = Morning { good, bad };
-    follow(fleet, &mut morning, imported).await;
-    Ok(morning)
+    import_sheet(fleet).await?;
+    let mut moves = DemoMoves { good, bad };
+    poll_report(fleet, &mut moves, imported).await;
+    Ok(moves)
 }
 
-fn mv(name: &'static str, service: &'static str, badness: Badness) -> Move {
+fn new_move(name: &'static str, service: &'static str, badness: Badness) -> Move {
     Move { name, service, badness, ending: Ending::Open, report: Value::Null }
 }
 
-/// Shortens every route's timeout and waits until all nodes have it.
+/// Shortens every route's timeout and waits until all nodes use the new configuration; returns its
+/// version and the time taken.
 async fn change_config(fleet: &Fleet, watch: &ConfigWatch) -> Result<(u64, Duration)> {
     let mut resources = fleet.options().deployment.resources();
     for resource in resources.iter_mut().filter(|resource| resource["kind"] == "route") {
@@ -141,7 +146,8 @@
     Ok((version, start.elapsed()))
 }
 
-fn start_new(fleet: &Fleet, mv: &Move, count: usize) -> Result<()> {
+/// Adds `count` instances of the new version of `mv`'s service, with the move's defect.
+fn start_new_version(fleet: &Fleet, mv: &Move, count: usize) -> Result<()> {
     for i in 0..count {
         let mut spec = fleet.spec(mv.service, i, NEW_VERSION);
         spec.upstream = upstream::Options { bad: mv.badness, ..spec.upstream };
@@ -150,21 +156,22 @@
     Ok(())
 }
 
-async fn import(fleet: &Fleet) -> Result<()> {
-    let instance = first(fleet)?;
+async fn import_sheet(fleet: &Fleet) -> Result<()> {
+    let instance = first_running(fleet)?;
     let body = json!({
         "operator": "demo",
         "op": format!("{:032x}", rand::random::<u128>()),
         "plan": PLAN,
-        "sheet": sheet()?,
+        "sheet": sheet_csv()?,
     });
     let answer = fleet.command(&instance, "sheet-import", &body).await?;
     println!("sheet imported: {answer}");
     Ok(())
 }
 
-fn sheet() -> Result<String> {
-    let context = || BenchError::Option("time of the sheet".into());
+/// Writes the sheet with both moves, from now to [`WINDOW_S`] from now.
+fn sheet_csv() -> Result<String> {
+    let context = || BenchError::Option("start and deadline of the sheet's moves".into());
     let now = Timestamp::now().round(Unit::Second).change_context_lazy(context)?;
     let deadline = now.checked_add(WINDOW_S.seconds()).change_context_lazy(context)?;
     let row = |name: &str, service: &str| {
@@ -174,29 +181,30 @@
     Ok(format!("{header}{}{}", row("counter-2", "counter"), row("intake-2", "intake")))
 }
 
-async fn follow(fleet: &Fleet, morning: &mut Morning, imported: Instant) {
+/// Polls the report until both moves have an outcome or [`AFTER_DEADLINE`] has passed.
+async fn poll_report(fleet: &Fleet, moves: &mut DemoMoves, imported: Instant) {
     let window = Duration::from_secs(WINDOW_S.unsigned_abs()) + AFTER_DEADLINE;
     let mut shown = [String::new(), String::new()];
     while imported.elapsed() < window {
-        monoio::time::sleep(LOOK).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
         for name in fleet.running() {
             if let Ok(report) = fleet.query(&name, &format!("report?plan={PLAN}")).await {
-                take_in(&mut morning.good, &report);
-                take_in(&mut morning.bad, &report);
+                update_from_report(&mut moves.good, &report);
+                update_from_report(&mut moves.bad, &report);
                 break;
             }
         }
-        for (mv, shown) in [&morning.good, &morning.bad].into_iter().zip(&mut shown) {
+        for (mv, shown) in [&moves.good, &moves.bad].into_iter().zip(&mut shown) {
             super::print::progress(mv, imported.elapsed(), shown);
         }
-        if morning.good.ending != Ending::Open && morning.bad.ending != Ending::Open {
+        if moves.good.ending != Ending::Open && moves.bad.ending != Ending::Open {
             return;
         }
     }
 }
 
-/// Finds the move's line in `report`, which is a list or holds one.
-fn take_in(mv: &mut Move, report: &Value) {
+/// Updates `mv` from its entry in `report`, which is a list of moves or an object with one.
+fn update_from_report(mv: &mut Move, report: &Value) {
     let list = report.as_array().or_else(|| report["moves"].as_array());
     let Some(found) = list.and_then(|list| list.iter().find(|line| line["move"] == mv.name)) else {
         return;
@@ -209,7 +217,8 @@
     };
 }
 
-fn first(fleet: &Fleet) -> Result<String> {
-    let none = || Report::new(BenchError::Unmet("no node runs".into()));
+fn first_running(fleet: &Fleet) -> Result<String> {
+    let none =
+        || Report::new(BenchError::Unmet("no node is running, expected at least one".into()));
     fleet.running().into_iter().next().ok_or_else(none)
 }
--- a/crates/sycamore-bench/src/demo/print.rs
+++ b/crates/sycamore-bench/src/demo/print.rs
@@ -1,13 +1,13 @@
-//! What the demonstration prints.
+//! Standard output of the demonstration.
 
-use super::moves::{Morning, Move};
+use super::moves::{DemoMoves, Move};
 use crate::fleet::Fleet;
 use crate::load::{Ended, Tally};
 use crate::measure::Violations;
 use crate::witness::Ledger;
 use std::time::Duration;
 
-/// The fleets are up.
+/// Prints the deployments of the started fleets and the time until they were ready.
 pub fn started(fleets: &[&Fleet], took: Duration) {
     for fleet in fleets {
         let deployment = &fleet.options().deployment;
@@ -27,7 +27,8 @@
     println!("all ready after {took:.1?}; mixed calls begin");
 }
 
-/// A move's share or state has changed; `shown` holds what was printed last.
+/// Prints the move's share and state if they differ from `shown`, the line that was printed last;
+/// `since` is the time since the import.
 pub fn progress(mv: &Move, since: Duration, shown: &mut String) {
     let share = mv.report["share"].as_f64().unwrap_or(0.0) / 100.0;
     let line = format!("{}: {} at {share:.2}%", mv.name, mv.ending);
@@ -37,7 +38,7 @@
     }
 }
 
-/// What became of the calls.
+/// Prints the outcomes of the calls to each fleet, with the reasons of refused and unknown ones.
 pub fn calls(loads: &[(&Fleet, &Tally)]) {
     println!();
     for (fleet, tally) in loads {
@@ -50,17 +51,17 @@
     }
 }
 
-/// The report, with the witness' counts beside it.
-pub fn moves(morning: &Morning, ledger: &Ledger) {
+/// Prints the outcome of both moves with the request counts of the upstreams' ledger.
+pub fn moves(moves: &DemoMoves, ledger: &Ledger) {
     println!();
-    line("move", "service", "ended", "after", "in time", "calls on new", "reason");
-    for mv in [&morning.good, &morning.bad] {
-        let (all, new) = Morning::runs(mv, ledger);
-        line(
+    print_row("move", "service", "ended", "after", "in time", "calls on new", "reason");
+    for mv in [&moves.good, &moves.bad] {
+        let (all, new) = DemoMoves::runs(mv, ledger);
+        print_row(
             mv.name,
             mv.service,
             &mv.ending.to_string(),
-            &decided(mv),
+            &time_to_decision(mv),
             if mv.in_time() { "yes" } else { "no" },
             &format!("{new} of {all}"),
             mv.report["reason"].as_str().unwrap_or("-"),
@@ -68,11 +69,20 @@
     }
 }
 
-fn line(mv: &str, service: &str, ended: &str, after: &str, time: &str, calls: &str, reason: &str) {
+fn print_row(
+    mv: &str,
+    service: &str,
+    ended: &str,
+    after: &str,
+    time: &str,
+    calls: &str,
+    reason: &str,
+) {
     println!("{mv:<10} {service:<8} {ended:<13} {after:>7} {time:>8} {calls:>14}  {reason}");
 }
 
-fn decided(mv: &Move) -> String {
+/// Returns the time from the move's start to its decision, `-` while it is undecided.
+fn time_to_decision(mv: &Move) -> String {
     match (mv.report["start"].as_u64(), mv.report["decided"].as_u64()) {
         (Some(start), Some(decided)) => {
             format!("{:.1} s", decided.saturating_sub(start) as f64 / 1_000.0)
@@ -81,9 +91,9 @@
     }
 }
 
-/// Broken promises and the time taken.
+/// Prints the violated guarantees and the time taken.
 pub fn end(violations: &Violations, took: Duration) {
-    println!("\npromises broken: {}", violations.total());
+    println!("\nguarantees violated: {}", violations.total());
     if violations.total() > 0 {
         println!("{violations:?}");
     }
