--- a/crates/sycamore-bench/src/cli/mod.rs
+++ b/crates/sycamore-bench/src/cli/mod.rs
@@ -1,14 +1,14 @@
-//! The command line of the development tool.
+//! Command line of the development tool.
 
 mod stand_ins;
 
 use crate::{demo, http, measure, soak, stand_in, Result};
 use bpaf::{construct, long, OptionParser, Parser};
 
-/// What the development tool does.
+/// Command of the development tool with its options.
 #[derive(Debug, Clone)]
 pub enum Command {
-    /// Runs the platform's stand-in.
+    /// Runs a stand-in of the platform.
     Platform(stand_in::platform::Options),
     /// Runs an emulated upstream.
     Upstream(Box<stand_in::upstream::Options>),
@@ -16,11 +16,11 @@
     Demo(demo::Options),
     /// Runs a measurement.
     Measure(measure::Command),
-    /// Runs the fault soak.
+    /// Runs random faults while the guarantees are checked.
     Soak(soak::Options),
 }
 
-/// The command line's parser.
+/// Parses the command line.
 pub fn options() -> OptionParser<Command> {
     let stand_in = stand_ins::parser()
         .to_options()
@@ -28,7 +28,7 @@
         .command("stand-in");
     let demo = demo_options()
         .to_options()
-        .descr("Both deployments at today's sizes: a good and a bad move, and their report.")
+        .descr("Runs both deployments at their current sizes with a good and a bad move.")
         .command("demo")
         .map(Command::Demo);
     let measure = measure::parser()
@@ -38,7 +38,7 @@
         .map(Command::Measure);
     let soak = soak::parser()
         .to_options()
-        .descr("Faults from outside, drawn from a seed, while promises are checked.")
+        .descr("Injects random faults from outside while the guarantees are checked.")
         .command("soak")
         .map(Command::Soak);
     construct!([stand_in, demo, measure, soak])
@@ -49,19 +49,20 @@
 
 fn demo_options() -> impl Parser<demo::Options> {
     let seed = seed();
-    let keep = long("keep").help("Keep the settings and logs of the run").switch();
+    let keep = long("keep").help("Keep the nodes' settings and logs after the run").switch();
     construct!(demo::Options { seed, keep })
 }
 
-/// The seed of a run.
+/// Parses `--seed`.
 pub fn seed() -> impl Parser<u64> {
-    long("seed").help("Seed of everything that is drawn").argument("N").fallback(1)
+    long("seed").help("Seed of all random choices").argument("N").fallback(1)
 }
 
-/// Carries out `command`.
+/// Runs `command` to its end.
 ///
 /// # Errors
-/// Where it could not be carried out, or the demonstration did not end as it must.
+/// The command could not be carried out, the demonstration ended otherwise than expected, or the
+/// soak found violated guarantees.
 pub fn execute(command: Command) -> Result<()> {
     match command {
         Command::Platform(options) => http::run(stand_in::platform::run(options)),
--- a/crates/sycamore-bench/src/cli/stand_ins.rs
+++ b/crates/sycamore-bench/src/cli/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Options of the stand-ins.
+//! Options of the `stand-in` commands.
 
 use super::Command;
 use crate::stand_in::{platform, upstream};
@@ -7,21 +7,22 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The stand-ins, each a command.
+/// Parses the `stand-in` subcommands.
 pub fn parser() -> impl Parser<Command> {
     let platform = platform()
         .to_options()
-        .descr("The platform: table and object store.")
+        .descr("Runs a stand-in of the platform: table and object store.")
         .command("platform")
         .map(Command::Platform);
     let upstream = upstream()
         .to_options()
-        .descr("An upstream beside a node.")
+        .descr("Runs an emulated upstream of a node.")
         .command("upstream")
         .map(|options| Command::Upstream(Box::new(options)));
     construct!([platform, upstream])
 }
 
+/// Parses `--name` with a placeholder for its value's unit and a default.
 fn arg<T>(name: &'static str, unit: &'static str, fallback: T) -> impl Parser<T>
 where
     T: FromStr + Clone + 'static,
@@ -30,6 +31,7 @@
     long(name).argument::<T>(unit).fallback(fallback)
 }
 
+/// Parses `--name` as a duration in milliseconds.
 fn millis(name: &'static str, fallback: Duration) -> impl Parser<Duration> {
     let fallback = u64::try_from(fallback.as_millis()).unwrap_or(u64::MAX);
     arg(name, "MS", fallback).map(Duration::from_millis)
