--- a/crates/sycamore-bench/src/error.rs
+++ b/crates/sycamore-bench/src/error.rs
@@ -2,18 +2,18 @@
 
 use std::fmt;
 
-/// What could not be done.
+/// Error of the development tool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BenchError {
-    /// A socket, file or process failed; holds what was tried.
+    /// A socket, file or process operation failed; holds the operation that was attempted.
     Io(String),
-    /// An HTTP exchange failed; holds what was tried.
+    /// An HTTP exchange failed; holds the request that was attempted.
     Http(String),
-    /// A process did not reach the state that was awaited in time; holds which.
+    /// A process did not reach an expected state in time; holds the process and the state.
     NotReady(String),
-    /// An option makes no sense; holds which and why.
+    /// An option or argument is invalid; holds which one and why.
     Option(String),
-    /// An expectation of a run was not met; holds which.
+    /// A run did not end as expected; holds what differs.
     Unmet(String),
 }
 
--- a/crates/sycamore-bench/src/lib.rs
+++ b/crates/sycamore-bench/src/lib.rs
@@ -1,4 +1,5 @@
-//! Development tool: stand-ins, emulated upstreams, load and measurements.
+//! Development tool of sycamoreshift: a stand-in of the platform, emulated upstreams, load
+//! generator, fault injection and measurements.
 
 pub mod cli;
 pub mod demo;
@@ -14,5 +15,5 @@
 
 pub use error::BenchError;
 
-/// Result of the development tool's functions.
+/// Result of a function of the development tool; the report names what was attempted.
 pub type Result<T> = std::result::Result<T, error_stack::Report<BenchError>>;
--- a/crates/sycamore-bench/src/main.rs
+++ b/crates/sycamore-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Development tool.
+//! `sycamoreshift-bench`, the development tool: runs the command that is given on the command line.
 
 use std::process::ExitCode;
 use sycamore_bench::cli;
