--- a/crates/sycamore-bench/src/demo/mod.rs
+++ b/crates/sycamore-bench/src/demo/mod.rs
@@ -10,7 +10,7 @@
     SHORT_VIEW_LAG,
 };
 use crate::load::{self, Tally};
-use crate::measure::{callers_of, kinds, Violations};
+use crate::measure::{caller_targets, mixed_call_kinds, Violations};
 use crate::stand_in::upstream;
 use crate::{BenchError, Result};
 use error_stack::Report;
@@ -108,8 +108,8 @@
         seed,
         rate: RATE_PER_S,
         time: LOAD_LIMIT,
-        targets: callers_of(fleet)?,
-        kinds: kinds(&fleet.options().deployment),
+        targets: caller_targets(fleet)?,
+        kinds: mixed_call_kinds(&fleet.options().deployment),
         ..load::Options::default()
     };
     Ok(load::run_until(&load, || done.get()).await)
--- a/crates/sycamore-bench/src/measure/calls.rs
+++ b/crates/sycamore-bench/src/measure/calls.rs
@@ -1,7 +1,7 @@
 //! The `calls` measurement: latency that nodes add compared with direct calls of the same run, and
 //! broken guarantees to callers, with optional faults during the load.
 
-use super::{kinds, print, Violations};
+use super::{mixed_call_kinds, print, Violations};
 use crate::fleet::{Deployment, Fleet, Options as FleetOptions};
 use crate::load::{self, CallKind, Ended, Record, Tally, Target};
 use crate::{BenchError, Result};
@@ -72,7 +72,7 @@
 /// Runs `measure calls` and prints its result.
 pub(super) async fn run(options: Options) -> Result<()> {
     let deployment = Deployment::zlatna_klupa();
-    let mixed_kinds = kinds(&deployment);
+    let mixed_kinds = mixed_call_kinds(&deployment);
     let settings = SETTINGS.map(|(s, k, v)| (s.to_owned(), k.to_owned(), v.to_owned())).into();
     let fleet = Fleet::start(FleetOptions {
         deployment,
@@ -83,7 +83,7 @@
     .await?;
     fleet.wait_members().await?;
     monoio::time::sleep(SETTLE).await;
-    let mixed = load_options(&options, options.rate, super::callers_of(&fleet)?, mixed_kinds);
+    let mixed = load_options(&options, options.rate, super::caller_targets(&fleet)?, mixed_kinds);
     let direct_rate = options.rate * DIRECT_PART;
     // Call tokens derive from the seed: two loads with one seed would count as repeats of the same
     // calls.
@@ -97,7 +97,7 @@
     let proxied = load_options(
         &seeded(2_000),
         direct_rate,
-        super::callers_of(&fleet)?,
+        super::caller_targets(&fleet)?,
         vec![zero_work_lookup()],
     );
     let loads = async {
--- a/crates/sycamore-bench/src/measure/mod.rs
+++ b/crates/sycamore-bench/src/measure/mod.rs
@@ -9,7 +9,7 @@
 mod path;
 mod violations;
 
-pub use path::{callers_of, kinds};
+pub use path::{caller_targets, mixed_call_kinds};
 pub use violations::Violations;
 
 use crate::Result;
--- a/crates/sycamore-bench/src/measure/path.rs
+++ b/crates/sycamore-bench/src/measure/path.rs
@@ -51,7 +51,7 @@
 /// Runs `measure path` and prints its result.
 pub(super) async fn run(options: Options) -> Result<()> {
     let deployment = Deployment::zlatna_klupa();
-    let kinds = kinds(&deployment);
+    let kinds = mixed_call_kinds(&deployment);
     let fleet_options = FleetOptions {
         deployment,
         seed: options.seed,
@@ -64,7 +64,7 @@
         seed: options.seed,
         rate: options.rate,
         time: Duration::from_secs(options.seconds),
-        targets: callers_of(&fleet)?,
+        targets: caller_targets(&fleet)?,
         kinds,
         ..Default::default()
     };
@@ -104,14 +104,14 @@
 ///
 /// # Errors
 /// An instance has no addresses; can't occur for running instances of `fleet`.
-pub fn callers_of(fleet: &Fleet) -> Result<Vec<Target>> {
+pub fn caller_targets(fleet: &Fleet) -> Result<Vec<Target>> {
     let addrs = fleet.running().into_iter().map(|name| Ok(fleet.addrs(&name)?.caller));
     Ok(vec![Target { prefix: "/".into(), addrs: addrs.collect::<Result<_>>()? }])
 }
 
 /// Returns the kinds of a mixed load on all services of `deployment`: lookups, bookings, bookings
 /// repeated with an idempotency key, lookups that call the next service, and photos.
-pub fn kinds(deployment: &Deployment) -> Vec<CallKind> {
+pub fn mixed_call_kinds(deployment: &Deployment) -> Vec<CallKind> {
     let names: Vec<&str> = deployment.services.iter().map(|s| s.name.as_str()).collect();
     let mut kinds = Vec::new();
     for (i, name) in names.iter().enumerate() {
--- a/crates/sycamore-bench/src/soak/mod.rs
+++ b/crates/sycamore-bench/src/soak/mod.rs
@@ -203,7 +203,10 @@
         time,
         limit: PATIENCE + GIVES_UP,
         targets: vec![Target { prefix: "/".into(), addrs }],
-        kinds: measure::kinds(&fleet.options().deployment).into_iter().filter_map(kind).collect(),
+        kinds: measure::mixed_call_kinds(&fleet.options().deployment)
+            .into_iter()
+            .filter_map(kind)
+            .collect(),
         ..load::Options::default()
     })
 }
--- a/crates/sycamore-bench/tests/process/support.rs
+++ b/crates/sycamore-bench/tests/process/support.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use sycamore_bench::fleet::{ConfigWatch, Deployment, Fleet, Options, ServiceSpec, KEY_MEMORY};
 use sycamore_bench::load::{self, CallKind, Tally, Target};
-use sycamore_bench::measure::{kinds, Violations};
+use sycamore_bench::measure::{mixed_call_kinds, Violations};
 use sycamore_bench::witness::Ledger;
 use sycamore_bench::{http, Result};
 
@@ -94,7 +94,7 @@
         rate: 60.0,
         time: Duration::from_secs(120),
         targets: targets(fleet, callers_at),
-        kinds: slow_bookings(without_chains(kinds(&fleet.options().deployment))),
+        kinds: slow_bookings(without_chains(mixed_call_kinds(&fleet.options().deployment))),
         ..load::Options::default()
     };
     let story = async {
