--- a/crates/sycamore-bench/tests/fleet.rs
+++ b/crates/sycamore-bench/tests/fleet.rs
@@ -1,12 +1,14 @@
-//! What a fleet is made of, without starting one.
+//! Composition of a fleet: deployments, addresses, node settings and metrics, without processes.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 use sycamore_bench::fleet::{settings, Deployment, InstanceSpec, Metrics, Net};
 use sycamore_bench::stand_in::upstream;
 
+/// Guards against figures that are measured on fleets of other sizes than the two current
+/// deployments and the design size of 930 upstreams.
 #[test]
-fn deployments_have_their_sizes() {
+fn deployments_have_their_documented_sizes() {
     let klupa = Deployment::zlatna_klupa();
     assert_eq!((klupa.upstreams(), klupa.centres().len(), klupa.slots), (12, 3, 12));
     let sutokatha = Deployment::sutokatha();
@@ -16,21 +18,24 @@
     assert_eq!(Deployment::scaled(20).upstreams(), 20);
 }
 
+/// Guards against two processes of the largest fleet that bind one address, and against listeners
+/// that other machines can reach.
 #[test]
-fn every_listener_of_a_fleet_has_an_address_of_its_own_on_loopback() {
+fn listeners_of_a_fleet_have_distinct_loopback_addresses() {
     let net = Net::draw();
     let mut seen: BTreeSet<SocketAddr> = [net.platform(), net.witness()].into();
     for number in 0..930 {
         let at = net.instance(number);
         for addr in [at.caller, at.upstream, at.relay, at.peer, at.operator, at.service] {
             assert!(matches!(addr.ip(), IpAddr::V4(ip) if ip.is_loopback()), "{addr}");
-            assert!(seen.insert(addr), "{addr} comes twice");
+            assert!(seen.insert(addr), "{addr} is assigned twice");
         }
     }
 }
 
+/// Guards against nodes that refuse to start because the generated settings are invalid.
 #[test]
-fn the_settings_of_a_node_are_accepted() {
+fn generated_node_settings_are_valid() {
     let spec = InstanceSpec {
         instance: "counter-1".into(),
         service: "counter".into(),
@@ -47,8 +52,9 @@
     assert_eq!(read.platform.table, net.platform());
 }
 
+/// Guards against a sum that includes a metric whose name only starts with the given one.
 #[test]
-fn metrics_are_summed_over_labels_of_one_name() {
+fn a_metric_is_summed_over_all_its_labels() {
     let page = "# TYPE a counter\na{x=\"1\"} 2\na{x=\"2\"} 3\nab 7\n";
     let metrics = Metrics::parse(page);
     assert!((metrics.sum("a") - 5.0).abs() < f64::EPSILON);
--- a/crates/sycamore-bench/tests/latencies.rs
+++ b/crates/sycamore-bench/tests/latencies.rs
@@ -1,10 +1,10 @@
-//! Latencies keep what they are given.
+//! Quantiles and maximum of recorded latencies.
 
 use std::time::Duration;
 use sycamore_bench::load::Latencies;
 
 #[test]
-fn quantiles_are_those_of_what_was_added() {
+fn quantiles_match_the_recorded_latencies() {
     let mut latencies = Latencies::default();
     (1..=100).for_each(|millis| latencies.add(Duration::from_millis(millis)));
     assert_eq!(latencies.count(), 100);
--- a/crates/sycamore-bench/tests/load.rs
+++ b/crates/sycamore-bench/tests/load.rs
@@ -1,11 +1,11 @@
-//! The generator draws the same calls for the same seed.
+//! Reproducibility of the load generator, and the latencies it records.
 
 use std::time::Duration;
 use sycamore_bench::http;
 use sycamore_bench::load::{self, CallKind, Ended, Latencies, Target};
 
-/// Loads an address where nobody listens.
-fn load_nobody(seed: u64) -> Vec<(String, usize)> {
+/// Generates a load on a closed port and returns each call's token and kind, sorted.
+fn calls_to_a_closed_port(seed: u64) -> Vec<(String, usize)> {
     let closed = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = closed.local_addr().expect("a bound address");
     drop(closed);
@@ -25,16 +25,17 @@
     calls
 }
 
+/// Guards against runs that can't be repeated, or that don't differ between seeds.
 #[test]
-fn one_seed_draws_one_load() {
-    let first = load_nobody(7);
+fn the_seed_determines_the_calls() {
+    let first = calls_to_a_closed_port(7);
     assert!(!first.is_empty());
-    assert_eq!(first, load_nobody(7));
-    assert_ne!(first, load_nobody(8));
+    assert_eq!(first, calls_to_a_closed_port(7));
+    assert_ne!(first, calls_to_a_closed_port(8));
 }
 
 #[test]
-fn latencies_of_any_size_are_kept() {
+fn median_and_maximum_match_the_recorded_latencies() {
     let mut latencies = Latencies::default();
     for ms in 1..=100 {
         latencies.add(Duration::from_millis(ms));
--- a/crates/sycamore-bench/tests/platform.rs
+++ b/crates/sycamore-bench/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in keeps the rules that nodes rely on.
+//! Rules of the platform's stand-in that nodes rely on.
 
 use serde_json::json;
 use std::time::Duration;
@@ -11,8 +11,9 @@
     }
 }
 
+/// Guards against a transaction that writes although one of its conditions fails.
 #[test]
-fn a_transaction_takes_effect_whole_or_not_at_all() {
+fn a_transaction_with_a_failed_condition_writes_nothing() {
     let mut table = Table::default();
     table.transact(&put("a", 0, json!(1))).unwrap();
     let mut both = put("b", 0, json!(2));
@@ -22,8 +23,10 @@
     assert!(table.get("b").is_none());
 }
 
+/// Guards against a row that gets an earlier revision again after its deletion, on which a stale
+/// writer's condition would hold.
 #[test]
-fn revisions_never_come_twice_not_even_after_a_delete() {
+fn revisions_are_not_reused_after_a_delete() {
     let mut table = Table::default();
     table.transact(&put("a", 0, json!(1))).unwrap();
     table.transact(&put("a", 1, json!(null))).unwrap();
@@ -33,7 +36,7 @@
 }
 
 #[test]
-fn listings_go_page_by_page_within_the_prefix() {
+fn listings_are_paged_and_limited_to_the_prefix() {
     let mut table = Table::default();
     for key in ["m/1", "m/2", "m/3", "n/1"] {
         table.transact(&put(key, 0, json!(0))).unwrap();
@@ -46,8 +49,9 @@
     assert_eq!(keys("m/2"), (vec!["m/3".into()], false));
 }
 
+/// Guards against a put on the condition of absence that overwrites an object.
 #[test]
-fn an_object_is_not_replaced_where_absence_is_demanded() {
+fn a_put_if_absent_does_not_replace_an_object() {
     let mut objects = Objects::default();
     assert!(objects.put("k", "one".into(), true));
     assert!(!objects.put("k", "two".into(), true));
@@ -56,8 +60,11 @@
 }
 
 #[test]
-fn a_rate_cap_gives_no_more_than_its_rate() {
+fn a_rate_cap_grants_no_more_than_its_rate_and_one_full_bucket() {
     let mut cap = RateCap::new(10);
     let given = (0..3_000).filter(|ms| cap.take(Duration::from_millis(*ms))).count();
-    assert!((30..=40).contains(&given), "{given} in three seconds and a full bucket at 10/s");
+    assert!(
+        (30..=40).contains(&given),
+        "{given} granted in three seconds at 10/s, with a full bucket at the start"
+    );
 }
--- a/crates/sycamore-bench/tests/proxy.rs
+++ b/crates/sycamore-bench/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy disturbs what passes, and only while it is told to.
+//! Faults of the proxy: each disturbs traffic while it is set, and only then.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -6,21 +6,24 @@
 use std::time::{Duration, Instant};
 use sycamore_bench::proxy::{Fault, Link, Proxy, Route, Transport, Way};
 
+/// Delay that faults add, and wait for an echo that must not arrive.
 const SHORT: Duration = Duration::from_millis(150);
+/// Longest wait for an echo that must arrive.
 const LONG: Duration = Duration::from_secs(5);
 
+/// Proxy before an echo server, with the link that its faults are set on.
 struct Setup {
     link: Arc<Link>,
     front: SocketAddr,
     _proxy: Proxy,
 }
 
-fn free() -> SocketAddr {
+fn free_addr() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("an address")
 }
 
-/// A proxy before an echo of connections and of datagrams.
+/// Starts a server that echoes TCP connections and UDP datagrams, and a proxy before it.
 fn setup() -> Setup {
     let echo = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let target = echo.local_addr().expect("an address");
@@ -43,10 +46,10 @@
             let _ = datagrams.send_to(&buf[..count], from);
         }
     });
-    let (link, front) = (Arc::<Link>::default(), free());
+    let (link, front) = (Arc::<Link>::default(), free_addr());
     let route = |transport| Route { transport, listen: front, target, link: link.clone() };
     let routes = vec![route(Transport::Tcp), route(Transport::Udp)];
-    Setup { link: link.clone(), front, _proxy: Proxy::start(routes).expect("it listens") }
+    Setup { link: link.clone(), front, _proxy: Proxy::start(routes).expect("the proxy can listen") }
 }
 
 impl Setup {
@@ -55,7 +58,7 @@
     }
 }
 
-/// Sends a word and gives whether its echo is there within `limit`.
+/// Sends four bytes and waits for their echo; an error if it has not arrived within `limit`.
 fn echoes(stream: &mut TcpStream, limit: Duration) -> Result<(), ErrorKind> {
     stream.set_read_timeout(Some(limit)).expect("a limit");
     stream.write_all(b"word").map_err(|e| e.kind())?;
@@ -63,8 +66,9 @@
     stream.read_exact(&mut word).map_err(|e| e.kind())
 }
 
+/// Guards against a cut that drops bytes of a connection, which TCP would deliver after the cut.
 #[test]
-fn what_is_cut_arrives_when_the_cut_ends() {
+fn bytes_held_back_by_a_cut_arrive_when_it_ends() {
     for fault in [Fault::Cut(Way::There), Fault::Cut(Way::Back), Fault::Silence] {
         let setup = setup();
         let mut stream = setup.open();
@@ -79,7 +83,7 @@
 }
 
 #[test]
-fn a_delay_holds_both_ways() {
+fn a_delay_applies_in_both_directions() {
     let setup = setup();
     let mut stream = setup.open();
     setup.link.set(Fault::Delay(SHORT));
@@ -89,7 +93,7 @@
 }
 
 #[test]
-fn open_connections_are_reset_and_new_ones_work() {
+fn a_reset_ends_open_connections_and_new_ones_work() {
     let setup = setup();
     let mut stream = setup.open();
     assert_eq!(echoes(&mut stream, LONG), Ok(()));
@@ -99,6 +103,7 @@
     assert_eq!(echoes(&mut setup.open(), LONG), Ok(()));
 }
 
+/// Guards against a muted connection that passes data again once another connection was opened.
 #[test]
 fn muted_connections_stay_silent_and_new_ones_work() {
     let setup = setup();
@@ -111,12 +116,12 @@
 }
 
 #[test]
-fn datagrams_find_their_way_back_and_are_lost_in_a_cut() {
+fn datagrams_are_answered_to_their_sender_and_lost_in_a_cut() {
     let setup = setup();
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     let echoes = |limit| {
         socket.set_read_timeout(Some(limit)).expect("a limit");
-        socket.send_to(b"word", setup.front).expect("it is sent");
+        socket.send_to(b"word", setup.front).expect("the datagram can be sent");
         socket.recv(&mut [0; 4]).is_ok()
     };
     assert!(echoes(LONG));
--- a/crates/sycamore-bench/tests/soak.rs
+++ b/crates/sycamore-bench/tests/soak.rs
@@ -1,4 +1,4 @@
-//! What the soak draws, and that it sees broken promises.
+//! Schedules that the soak draws, and its detection of guarantee violations.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,21 +6,24 @@
 use sycamore_bench::soak::{schedule, Promises};
 use sycamore_bench::witness::{Ledger, Sighting, SightingKind};
 
+/// Time over which the events of a schedule are spread.
 const TIME: Duration = Duration::from_secs(20);
 
 fn instances() -> Vec<String> {
     ["counter-1", "counter-2", "intake-1"].map(String::from).into()
 }
 
+/// Guards against soaks that can't be repeated, or that don't differ between seeds.
 #[test]
-fn a_seed_always_draws_the_same_and_another_draws_otherwise() {
+fn the_seed_determines_the_schedule() {
     let plan = |seed| schedule::plan(seed, TIME, &instances());
     assert_eq!(plan(7), plan(7));
     assert_ne!(plan(7), plan(8));
 }
 
+/// Guards against a schedule that never combines faults, leaves a kind out or outlasts its time.
 #[test]
-fn events_overlap_and_every_kind_is_drawn() {
+fn schedules_overlap_events_and_include_every_kind() {
     let mut kinds = BTreeSet::new();
     let mut overlaps = 0;
     for seed in 0..50 {
@@ -34,6 +37,7 @@
     assert_eq!(kinds.len(), 11, "{kinds:?}");
 }
 
+/// Creates the record of a non-idempotent call that ended as `ended`, 10 ms after it was sent.
 fn record(ended: Ended) -> Record {
     Record {
         token: "one".into(),
@@ -54,6 +58,7 @@
     }
 }
 
+/// Creates a ledger in which the call of [`record`] began `times` times.
 fn ran(times: usize) -> Ledger {
     let start = Sighting {
         kind: SightingKind::Start,
@@ -67,12 +72,14 @@
     Ledger::new(vec![start; times])
 }
 
+/// Returns the names of the violated guarantees.
 fn names(promises: &Promises) -> Vec<&'static str> {
     promises.breaches().into_iter().map(|(name, _)| name).collect()
 }
 
+/// Guards against a violation that the soak doesn't report, or reports under another name.
 #[test]
-fn each_broken_promise_is_named() {
+fn each_violation_is_reported_by_name() {
     let judged = |record: Record, ledger: &Ledger| {
         let promises = Promises::default();
         promises.seen(&record);
@@ -88,8 +95,10 @@
     assert_eq!(judged(late, &ran(1)), ["answer late"]);
 }
 
+/// Guards against late answers that are excused by a fault which had ended before the call or began after
+/// it.
 #[test]
-fn an_answer_may_be_late_only_while_something_disturbs_its_callers() {
+fn a_late_answer_is_excused_only_during_a_fault_at_its_node() {
     let late = Record { latency: Duration::from_secs(3), ..record(Ended::Unknown) };
     let addr = late.addr.expect("an address");
     let judged = |from_us, to_us| {
@@ -105,8 +114,10 @@
     assert_eq!(judged(5_000_000, 6_000_000), ["answer late"]);
 }
 
+/// Guards against a late answer that is excused by a silenced connection, on which no answer can
+/// arrive at all.
 #[test]
-fn a_silent_connection_excuses_calls_without_any_answer_only() {
+fn a_silenced_connection_excuses_only_calls_without_an_answer() {
     let judged = |ended| {
         let late = Record { latency: Duration::from_secs(3), ..record(ended) };
         let promises = Promises::default();
--- a/crates/sycamore-bench/tests/upstream.rs
+++ b/crates/sycamore-bench/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! The emulated upstream, called directly, and the checks that find broken promises.
+//! Emulated upstream under direct load, and the violations that its ledger shows.
 
 use futures::future::{select, Either};
 use futures::FutureExt;
@@ -15,7 +15,8 @@
     listener.local_addr().expect("a bound address")
 }
 
-/// Loads one upstream directly and gives what callers and witness saw.
+/// Runs `load` directly on one upstream for a second; returns the callers' tally and the ledger of
+/// what ran.
 fn load_upstream(options: upstream::Options, load: load::Options) -> (Tally, Ledger) {
     http::run(async move {
         let witness = Witness::start(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
@@ -31,8 +32,10 @@
     })
 }
 
+/// Guards against an upstream that mixes up or truncates answers, and against runs that are missing
+/// from the ledger or counted twice.
 #[test]
-fn every_call_gets_its_own_whole_answer_and_is_witnessed_once() {
+fn every_call_gets_its_own_complete_answer_and_one_run_in_the_ledger() {
     let mut kinds = vec![CallKind::lookup("counter"), CallKind::booking("counter")];
     kinds.extend(load::photos("counter"));
     let load = load::Options { kinds, rate: 100.0, ..load::Options::default() };
@@ -43,8 +46,9 @@
     assert_eq!(ledger.runs().len(), tally.records().len());
 }
 
+/// Guards against a refusal for load of a call that the upstream runs nevertheless.
 #[test]
-fn what_is_shed_did_not_run() {
+fn calls_shed_for_load_do_not_run() {
     let options = upstream::Options {
         slots: 1,
         queue: 0,
@@ -71,8 +75,10 @@
     }
 }
 
+/// Guards against a second run, or a run of a refused call, that is not counted as a violation;
+/// both are added to the ledger by hand.
 #[test]
-fn a_second_run_and_a_false_refusal_are_found() {
+fn a_second_run_and_a_run_of_a_refused_call_are_violations() {
     let options = upstream::Options { slots: 1, queue: 0, ..upstream::Options::default() };
     let kinds = vec![CallKind::booking("counter")];
     let load = load::Options { kinds, rate: 300.0, ..load::Options::default() };
@@ -85,8 +91,10 @@
     assert_eq!((violations.ran_twice, violations.false_not_run), (1, 1));
 }
 
+/// Guards against late runs on a draining upstream that are not counted, and against runs after its
+/// restart that are.
 #[test]
-fn work_after_a_drain_is_found_and_a_restart_ends_the_drain() {
+fn runs_after_a_drain_are_counted_until_the_restart() {
     let ledger = Ledger::new(vec![
         sighting(SightingKind::Drain, 1_000, ""),
         sighting(SightingKind::Start, 2_000, "early"),
@@ -97,8 +105,9 @@
     assert_eq!(ledger.runs_after_drain(3_000), 1);
 }
 
+/// Guards against a cancelled call that keeps its slot or its place in the queue.
 #[test]
-fn slots_are_granted_in_order_and_given_up_when_dropped() {
+fn slots_are_granted_in_order_and_freed_when_dropped() {
     let slots = Slots::new(1, 2);
     let first = slots.take().now_or_never().unwrap().ok().unwrap();
     let mut second = slots.take();
