--- a/crates/sycamore-bench/src/demo/mod.rs
+++ b/crates/sycamore-bench/src/demo/mod.rs
@@ -54,6 +54,8 @@
     )
     .await?;
     print::started(&[&zlatna_klupa, &sutokatha], start.elapsed());
+    // Until then nodes can't know of earlier runs and answer calls with idempotency keys as perhaps
+    // run.
     monoio::time::sleep(KEY_MEMORY + SHORT_VIEW_LAG).await;
     let done = Cell::new(false);
     let watch = ConfigWatch::default();
--- a/crates/sycamore-bench/src/demo/moves.rs
+++ b/crates/sycamore-bench/src/demo/moves.rs
@@ -65,9 +65,9 @@
 /// The two moves of the demonstration.
 #[derive(Debug, Clone)]
 pub struct DemoMoves {
-    /// The good move.
+    /// Move to a good version, which must be done.
     pub good: Move,
-    /// The bad move.
+    /// Move to a bad version, which must be taken back.
     pub bad: Move,
 }
 
--- a/crates/sycamore-bench/src/measure/converge/mod.rs
+++ b/crates/sycamore-bench/src/measure/converge/mod.rs
@@ -15,7 +15,7 @@
 
 pub use fault::Fault;
 
-/// How nodes learn of a change.
+/// Means by which nodes learn of a configuration change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
     /// As the product's nodes do.
@@ -45,7 +45,7 @@
     pub nodes: usize,
     /// Number of configuration changes.
     pub changes: usize,
-    /// How nodes learn of a change.
+    /// Means by which nodes learn of a configuration change.
     pub policy: Policy,
     /// Faults that are injected into every change.
     pub faults: Vec<Fault>,
--- a/crates/sycamore-bench/src/measure/converge/observe.rs
+++ b/crates/sycamore-bench/src/measure/converge/observe.rs
@@ -1,4 +1,4 @@
-//! When each node applied a configuration version, read from the nodes' timelines.
+//! Times at which nodes applied a configuration version, read from the nodes' timelines.
 
 use crate::fleet::Fleet;
 use crate::measure::Violations;
--- a/crates/sycamore-bench/src/measure/converge/run.rs
+++ b/crates/sycamore-bench/src/measure/converge/run.rs
@@ -115,7 +115,7 @@
 }
 
 impl Run<'_> {
-    fn has(&self, fault: Fault) -> bool {
+    fn has_fault(&self, fault: Fault) -> bool {
         self.options.faults.contains(&fault)
     }
 
@@ -127,7 +127,7 @@
         let rest: Vec<String> = names.into_iter().filter(|name| !herd.contains(name)).collect();
         let Some(at) = rest.choose(&mut self.rng).cloned() else { return Ok(()) };
         let frozen = self.draw_frozen(&rest, &at);
-        if self.has(Fault::LostAnswer) {
+        if self.has_fault(Fault::LostAnswer) {
             // Loses the answers to the object's put, which the node repeats, and to the head's
             // write, which the node reads back.
             self.control(Control { lost_answers: Some(2), ..Control::default() }).await?;
@@ -140,7 +140,7 @@
         }
         let sent = wall_ms();
         let version = self.apply(&at, number).await?;
-        if self.has(Fault::PlatformOut) {
+        if self.has_fault(Fault::PlatformOut) {
             let outage_ms = Some(u64::try_from(OUTAGE.as_millis()).unwrap_or(u64::MAX));
             self.control(Control { outage_ms, ..Control::default() }).await?;
         }
@@ -160,7 +160,7 @@
                 observe::wait_until_applied(self.fleet, std::slice::from_ref(&name), version).await;
             self.record_times(resumed, &[name], &applied);
         }
-        if self.has(Fault::PlatformOut) {
+        if self.has_fault(Fault::PlatformOut) {
             self.control(Control { outage_ms: Some(0), ..Control::default() }).await?;
         }
         let pause = CHANGE_PAUSE.mul_f64(self.rng.random_range(0.5..1.5));
@@ -170,7 +170,7 @@
 
     /// Draws the nodes that the `herd` fault kills; none without the fault.
     fn draw_herd(&mut self, names: &[String]) -> Vec<String> {
-        let count = match self.has(Fault::Herd) {
+        let count = match self.has_fault(Fault::Herd) {
             true => names.len() * HERD_PERCENT / 100,
             false => 0,
         };
@@ -179,7 +179,7 @@
 
     /// Draws the node that the `freeze` fault stops, other than `not`; `None` without the fault.
     fn draw_frozen(&mut self, names: &[String], not: &str) -> Option<String> {
-        if !self.has(Fault::Freeze) {
+        if !self.has_fault(Fault::Freeze) {
             return None;
         }
         let others: Vec<&String> = names.iter().filter(|name| *name != not).collect();
@@ -196,7 +196,7 @@
             })
         };
         let first = command("ana", self.rng.random());
-        if !self.has(Fault::Race) {
+        if !self.has_fault(Fault::Race) {
             let answer = self.fleet.command(at, "config-apply", &first).await?;
             return Ok(answer["version"].as_u64().unwrap_or_default());
         }
@@ -262,7 +262,7 @@
         report.idle_bytes_per_node_s = idle_bytes / quiet / nodes;
         report.idle_peer_bytes_per_node_s = idle_peers / quiet / nodes;
         // Killed nodes lose their counters, so a run with a herd has no such figure.
-        report.bytes_per_change_per_node = match self.has(Fault::Herd) {
+        report.bytes_per_change_per_node = match self.has_fault(Fault::Herd) {
             true => f64::NAN,
             false => extra / (self.options.changes.max(1) as f64 * nodes),
         };
--- a/crates/sycamore-bench/src/measure/moves/trial/mod.rs
+++ b/crates/sycamore-bench/src/measure/moves/trial/mod.rs
@@ -78,7 +78,7 @@
     let mut simulation = Simulation::new(scenario, policy, faults, seed);
     let end = scenario.deadline_ms + AFTER_DEADLINE_MS;
     while simulation.now < end && !simulation.is_over() {
-        simulation.round();
+        simulation.run_round();
     }
     simulation.result()
 }
@@ -168,13 +168,14 @@
             || self.now >= self.scenario.deadline_ms + AFTER_DEADLINE_MS
     }
 
-    fn round(&mut self) {
+    /// Advances the time by [`ROUND_MS`] and simulates everything that is due.
+    fn run_round(&mut self) {
         self.now += ROUND_MS;
-        self.traffic();
-        self.finish();
+        self.send_due_calls();
+        self.finish_due_calls();
         match self.policy {
             Policy::Baseline => self.baseline.check(self.now),
-            Policy::Product => self.control(),
+            Policy::Product => self.run_control(),
         }
         if self.now.is_multiple_of(VERDICT_INTERVAL_MS) {
             if let Some(observer) = &mut self.observer {
@@ -183,7 +184,8 @@
         }
     }
 
-    fn control(&mut self) {
+    /// Injects the faults that are due, delivers messages and runs the nodes' timers.
+    fn run_control(&mut self) {
         self.kill_and_restart();
         self.abort_if_due();
         while let Some(message) = self.queue.take(self.now) {
@@ -206,7 +208,7 @@
             self.step_control(index, input);
         }
         if phase.is_multiple_of(REPORT_MS / ROUND_MS) {
-            self.report(index);
+            self.send_report(index);
         }
         if phase.is_multiple_of(TICK_MS / ROUND_MS) {
             self.step_control(index, Input::Tick);
@@ -215,7 +217,7 @@
 
     /// Sends the evidence report of a node to the nodes that merge reports; only its own copy is
     /// never lost or delayed.
-    fn report(&mut self, index: usize) {
+    fn send_report(&mut self, index: usize) {
         if index >= 2 * self.scenario.instances {
             return;
         }
@@ -230,13 +232,13 @@
             if to == index {
                 self.queue.send(self.now, Message::Report(to, report));
             } else {
-                self.send(1..60, || Message::Report(to, report.clone()));
+                self.send_lossy(1..60, || Message::Report(to, report.clone()));
             }
         }
     }
 
     /// Sends a message with a random delay in milliseconds; it may be lost or arrive twice.
-    fn send(&mut self, delay: std::ops::Range<u64>, message: impl Fn() -> Message) {
+    fn send_lossy(&mut self, delay: std::ops::Range<u64>, message: impl Fn() -> Message) {
         let copies = match self.rng.random::<f64>() {
             draw if draw < LOSS => 0,
             draw if draw < 2.0 * LOSS => 2,
@@ -301,14 +303,14 @@
                 }
             }
             Message::End { writer, outcome, based_on, op } => {
-                self.end(writer, outcome, based_on, op);
+                self.write_outcome(writer, outcome, based_on, op);
             }
         }
     }
 
     /// Writes the outcome that the node `writer` has decided, and sends the recorded row to all
     /// nodes.
-    fn end(&mut self, writer: usize, outcome: Outcome, based_on: u64, op: OpId) {
+    fn write_outcome(&mut self, writer: usize, outcome: Outcome, based_on: u64, op: OpId) {
         let author = Author::Node(self.nodes[writer].member.instance.clone());
         let change = Change { author, op, at: WallTime(self.now) };
         let answer = self.table.write(self.now, outcome, based_on, change, &mut self.rng);
--- a/crates/sycamore-bench/src/measure/moves/trial/traffic.rs
+++ b/crates/sycamore-bench/src/measure/moves/trial/traffic.rs
@@ -9,23 +9,25 @@
 
 impl Simulation<'_> {
     /// Sends the calls that are due in this round, each from a random caller.
-    pub(super) fn traffic(&mut self) {
+    pub(super) fn send_due_calls(&mut self) {
         self.due_calls += self.scenario.rate * ROUND_MS as f64 / 1_000.0;
         while self.due_calls >= 1.0 {
             self.due_calls -= 1.0;
             let caller = self.rng.random_range(0..self.scenario.callers);
-            self.call(caller);
+            self.send_call(caller);
         }
     }
 
-    fn call(&mut self, caller: u64) {
+    /// Sends a call of `caller` to a version by the share, or to the old one if no instance of the
+    /// new one admits it; the call is dropped if none of the old one does either.
+    fn send_call(&mut self, caller: u64) {
         let open = !self.table.row().is_ended() && self.baseline.withdrawn_ms.is_none();
         if open && self.now >= self.scenario.start_ms {
             self.calls += 1;
         }
-        let wants_new = self.rng.random_bool(self.share(caller).as_fraction());
-        let target = wants_new.then(|| self.pick(true)).flatten();
-        let Some(index) = target.or_else(|| self.pick(false)) else { return };
+        let wants_new = self.rng.random_bool(self.new_version_share(caller).as_fraction());
+        let target = wants_new.then(|| self.pick_instance(true)).flatten();
+        let Some(index) = target.or_else(|| self.pick_instance(false)) else { return };
         let mut call = Call {
             route: self.rng.random_range(0..self.scenario.routes),
             caller,
@@ -38,11 +40,11 @@
             self.calls_new += u64::from(open);
             self.count_new(index);
         }
-        self.start(index, &call);
+        self.start_call(index, &call);
     }
 
     /// Returns the new version's share that the node which `caller` speaks to applies.
-    fn share(&self, caller: u64) -> Share {
+    fn new_version_share(&self, caller: u64) -> Share {
         match self.policy {
             Policy::Baseline => self.baseline.share(self.scenario, self.now),
             Policy::Product => {
@@ -55,7 +57,7 @@
 
     /// Returns the index of a random node of the version that admits a call. Nodes that are down or
     /// refuse because of a verdict are skipped.
-    fn pick(&mut self, is_new: bool) -> Option<usize> {
+    fn pick_instance(&mut self, is_new: bool) -> Option<usize> {
         let instances = self.scenario.instances;
         let first = if is_new { instances } else { 0 };
         let offset = self.rng.random_range(0..instances);
@@ -79,7 +81,8 @@
         }
     }
 
-    fn start(&mut self, index: usize, call: &Call) {
+    /// Draws the answer to `call` and starts it on the node with the given index.
+    fn start_call(&mut self, index: usize, call: &Call) {
         let answer = answer(self.scenario, call, &mut self.rng);
         if answer.shows_defect {
             self.first_defect_ms.get_or_insert(self.now);
@@ -105,7 +108,7 @@
     }
 
     /// Ends the calls that are due and passes their outcomes to the observer and the baseline.
-    pub(super) fn finish(&mut self) {
+    pub(super) fn finish_due_calls(&mut self) {
         for index in 0..2 * self.scenario.instances {
             let node = &mut self.nodes[index];
             let was_up = node.is_up(self.now);
--- a/crates/sycamore-bench/src/measure/path.rs
+++ b/crates/sycamore-bench/src/measure/path.rs
@@ -59,6 +59,8 @@
         ..Default::default()
     };
     let fleet = Fleet::start(fleet_options).await?;
+    // Until then nodes can't know of earlier runs and answer calls with idempotency keys as perhaps
+    // run.
     monoio::time::sleep(KEY_MEMORY + SHORT_VIEW_LAG).await;
     let load = load::Options {
         seed: options.seed,
@@ -103,7 +105,7 @@
 /// Returns the caller listeners of all running nodes of `fleet` as one load target.
 ///
 /// # Errors
-/// An instance has no addresses; can't occur for running instances of `fleet`.
+/// An instance is unknown to `fleet`, which can't occur for those that it runs.
 pub fn caller_targets(fleet: &Fleet) -> Result<Vec<Target>> {
     let addrs = fleet.running().into_iter().map(|name| Ok(fleet.addrs(&name)?.caller));
     Ok(vec![Target { prefix: "/".into(), addrs: addrs.collect::<Result<_>>()? }])
--- a/crates/sycamore-bench/src/measure/violations.rs
+++ b/crates/sycamore-bench/src/measure/violations.rs
@@ -6,23 +6,23 @@
 /// Counts of violated guarantees; every count of a correct run is 0.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Violations {
-    /// A node replaced its configuration by an older version.
+    /// Replacements of a node's configuration by an older version.
     pub config_went_back: usize,
-    /// A node used a route whose service its configuration lacks.
+    /// Routes in a node's configuration whose service that configuration lacks.
     pub dangling_route: usize,
-    /// A configuration was applied in part: nodes had different manifests of one version.
+    /// Configurations applied in part, seen as different manifests of one version.
     pub partial_apply: usize,
-    /// A non-idempotent request, or one with an idempotency key, ran more than once.
+    /// Requests that are not idempotent, or carry an idempotency key, and ran more than once.
     pub ran_twice: usize,
-    /// A request that was refused as not run had run.
+    /// Requests that were refused as not run, but had run.
     pub false_not_run: usize,
-    /// A caller got the answer to another call.
+    /// Answers that belong to another call than the caller's.
     pub wrong_answer: usize,
-    /// A truncated answer looked complete, or a graceful shutdown cut an answer off.
+    /// Truncated answers that looked complete, or that a graceful shutdown cut off.
     pub cut_answer: usize,
-    /// A draining upstream got a request later than the run allows.
+    /// Requests that reached a draining upstream later than the run allows.
     pub work_after_drain: usize,
-    /// A version found bad got a request later after the verdict than the run allows.
+    /// Requests that reached a bad version later after its verdict than the run allows.
     pub work_after_verdict: usize,
 }
 
