--- a/crates/sycamore-bench/tests/process/accept.rs
+++ b/crates/sycamore-bench/tests/process/accept.rs
@@ -1,6 +1,6 @@
-//! Operators who race, and a node that starts while the platform is out.
+//! Acceptance of configurations: racing operators, and a node that starts in a platform outage.
 
-use crate::support::play;
+use crate::support::run_under_load;
 use futures::future::join;
 use serde_json::{json, Value};
 use sycamore_bench::fleet::Fleet;
@@ -17,9 +17,11 @@
     fleet.query(instance, "config").await.ok()?["version"].as_u64()
 }
 
+/// Guards against two operators who both replace the same version, each from another node, so that
+/// one configuration is lost without notice.
 #[test]
-fn of_two_racing_operators_one_wins_and_the_other_is_told_who() {
-    let outcome = play(11, &[], async |fleet| {
+fn of_two_racing_operators_one_is_accepted_and_the_other_learns_the_winner() {
+    let outcome = run_under_load(11, &[], async |fleet| {
         let before = version_of(fleet, "counter-1").await.unwrap_or(0);
         let (first, second) =
             (command(fleet, "ana", 1, before), command(fleet, "rahim", 2, before));
@@ -34,16 +36,18 @@
             other => panic!("not exactly one was accepted: {other:?}"),
         };
         assert_eq!(won["version"].as_u64(), Some(before + 1));
-        let told = format!("{lost:?}");
-        assert!(told.contains("409") && told.contains(winner), "{told}");
+        let refusal = format!("{lost:?}");
+        assert!(refusal.contains("409") && refusal.contains(winner), "{refusal}");
         Ok(())
     });
     assert_eq!(outcome.violations.total(), 0, "{:?}", outcome.violations);
 }
 
+/// Guards against a node that was down during a change, restarts in a platform outage and serves
+/// the version before the change.
 #[test]
-fn a_node_that_starts_in_an_outage_serves_no_older_version() {
-    let outcome = play(12, &["intake-1", "intake-2", "counter-2"], async |fleet| {
+fn a_node_that_starts_in_an_outage_serves_the_latest_version() {
+    let outcome = run_under_load(12, &["intake-1", "intake-2", "counter-2"], async |fleet| {
         let before = version_of(fleet, "counter-1").await.unwrap_or(0);
         fleet.kill_node("counter-1")?;
         let version = fleet.apply_resources("test", fleet.options().deployment.resources()).await?;
--- a/crates/sycamore-bench/tests/process/drain.rs
+++ b/crates/sycamore-bench/tests/process/drain.rs
@@ -1,20 +1,22 @@
 //! Graceful shutdown under load.
 
-use crate::support::{pass, play, small, turn};
+use crate::support::{fleet_permit, run_under_load, sleep, small_fleet};
 use nix::sys::signal::Signal;
 use std::time::Duration;
 use sycamore_bench::fleet::{Fleet, Options};
 use sycamore_bench::http;
 use sycamore_bench::load::{Call, CallKind, Caller, Ended, Tally};
 
-/// Time that work may still reach an upstream that leaves, in microseconds.
-const ALLOWED_US: u64 = 3_000_000;
+/// Longest time after the start of an upstream's drain in which requests may reach it, in
+/// microseconds.
+const DRAIN_ALLOWED_US: u64 = 3_000_000;
 
-/// The answer to a key whose owner just changed: the call was not admitted anywhere, and what an
-/// earlier owner did with the key is not known.
+/// Reason of the answer to a call whose key has just changed its owner: the call was not admitted
+/// anywhere, and what an earlier owner did with the key is not known.
 const KEY_UNKNOWN: &str = "key-unknown";
 
-/// Every call was answered; one that was refused for want of capacity did not run.
+/// Asserts that every call got an answer from which the caller knows whether the call ran, or the
+/// answer [`KEY_UNKNOWN`]. A refusal for lack of capacity is such an answer: the call did not run.
 fn assert_nothing_cut(tally: &Tally) {
     let cut = [Ended::Cut, Ended::NoAnswer, Ended::Unknown, Ended::TimedOut, Ended::Failed];
     let cut = tally.records().iter().filter(|r| cut.contains(&r.ended));
@@ -22,43 +24,50 @@
     assert!(bad.is_empty(), "{bad:?}");
 }
 
+/// Guards against calls that are cut off when a node is stopped by SIGTERM, and against a node that
+/// never ends.
 #[test]
-fn a_node_told_to_stop_cuts_nothing() {
-    let outcome = play(6, &["intake-1", "intake-2", "counter-2"], async |fleet| {
-        pass(Duration::from_secs(1)).await;
+fn a_node_stopped_by_sigterm_cuts_no_call() {
+    let outcome = run_under_load(6, &["intake-1", "intake-2", "counter-2"], async |fleet| {
+        sleep(Duration::from_secs(1)).await;
         fleet.signal_node("counter-1", Signal::SIGTERM)?;
         let ended = || async { fleet.node_ended("counter-1") == Some(true) };
         fleet.wait_for("the node ends by itself", ended).await?;
-        pass(Duration::from_secs(1)).await;
+        sleep(Duration::from_secs(1)).await;
         Ok(())
     });
     assert_nothing_cut(&outcome.tally);
     assert_eq!(outcome.violations.total(), 0, "{:?}", outcome.violations);
 }
 
+/// Guards against requests that reach an upstream after its drain, and against calls that are cut
+/// off by the drain.
 #[test]
-fn a_leaving_upstream_gets_nothing_new_and_nothing_is_cut() {
-    let outcome = play(7, &["intake-1", "intake-2", "counter-2"], async |fleet| {
-        pass(Duration::from_secs(1)).await;
+fn a_draining_upstream_gets_no_new_requests_and_cuts_no_call() {
+    let outcome = run_under_load(7, &["intake-1", "intake-2", "counter-2"], async |fleet| {
+        sleep(Duration::from_secs(1)).await;
         fleet.signal_upstream("counter-1", Signal::SIGTERM)?;
-        pass(Duration::from_secs(6)).await;
+        sleep(Duration::from_secs(6)).await;
         Ok(())
     });
     assert_nothing_cut(&outcome.tally);
-    assert_eq!(outcome.ledger.runs_after_drain(ALLOWED_US), 0);
+    assert_eq!(outcome.ledger.runs_after_drain(DRAIN_ALLOWED_US), 0);
     assert_eq!(outcome.violations.total(), 0, "{:?}", outcome.violations);
 }
 
+/// Guards against a stopping node that refuses calls within its drain notice, runs calls that
+/// arrive after it, or cuts off a call in progress.
 #[test]
-fn a_node_that_stops_takes_nothing_new_after_its_notice_and_answers_what_it_has() {
-    let _turn = turn();
+fn a_stopping_node_admits_calls_until_its_notice_ends_and_finishes_them() {
+    let _permit = fleet_permit();
     let _limit = sycamore_bench::fleet::guard::limit_run(Duration::from_secs(120));
     http::run(async {
-        let fleet = Fleet::start(Options { seed: 10, ..small() }).await.expect("the fleet starts");
+        let fleet =
+            Fleet::start(Options { seed: 10, ..small_fleet() }).await.expect("the fleet starts");
         let notice = sycamore_settings::calls::Calls::default().drain_notice;
         let work = |ms: u64| CallKind { work_us: Some(ms * 1_000), ..CallKind::booking("intake") };
         let send = async |kind: &CallKind, token: &str, after: Duration| {
-            pass(after).await;
+            sleep(after).await;
             let call = Call {
                 kind,
                 index: 0,
@@ -67,11 +76,11 @@
                 limit: Duration::from_secs(10),
                 addrs: vec![fleet.addrs("counter-1").expect("an instance").caller],
             };
-            // A connection of its own: the one that was open goes on to its answer.
+            // Opens a connection of its own: the earlier one stays busy until its answer.
             Caller::default().send(&call).await.ended
         };
         let stop = async {
-            pass(Duration::from_millis(200)).await;
+            sleep(Duration::from_millis(200)).await;
             fleet.signal_node("counter-1", Signal::SIGTERM).expect("the node runs");
         };
         let (long, quick) = (work(2_500), work(10));
@@ -84,10 +93,13 @@
             stop
         );
         assert_eq!((first, during), (Ended::Ok, Ended::Ok));
-        let turned_away = [Ended::NotConnected, Ended::NoAnswer, Ended::Refused];
-        assert!(turned_away.contains(&after), "{after:?}");
+        let rejections = [Ended::NotConnected, Ended::NoAnswer, Ended::Refused];
+        assert!(rejections.contains(&after), "{after:?}");
         let ledger = fleet.witness().ledger().await;
-        assert!(!ledger.runs().contains_key("after-notice"), "it ran");
+        assert!(
+            !ledger.runs().contains_key("after-notice"),
+            "a call ran that arrived after the notice"
+        );
         let ended = || async { fleet.node_ended("counter-1") == Some(true) };
         fleet.wait_for("the node ends by itself", ended).await.expect("it ends");
         fleet.stop().await;
--- a/crates/sycamore-bench/tests/process/faults.rs
+++ b/crates/sycamore-bench/tests/process/faults.rs
@@ -1,6 +1,6 @@
-//! Nodes killed and frozen under load.
+//! Nodes and upstreams that are killed or stopped under load.
 
-use crate::support::{pass, play, small, turn, Outcome};
+use crate::support::{fleet_permit, run_under_load, sleep, small_fleet, Outcome};
 use nix::sys::signal::Signal;
 use std::time::Duration;
 use sycamore_bench::fleet::{Fleet, Options};
@@ -8,76 +8,86 @@
 use sycamore_bench::load::{Call, CallKind, Caller, Ended};
 use sycamore_bench::witness::now_us;
 
-/// Nothing ran twice, no refusal was false, no answer was another's or short, and the other
-/// upstreams kept serving.
-fn assert_kept(outcome: &Outcome) {
+/// Asserts that no call ran twice, no refused call ran, no answer was another call's or truncated,
+/// and the other upstreams kept serving.
+fn assert_no_violations_and_service(outcome: &Outcome) {
     assert_eq!(outcome.violations.total(), 0, "{:?}", outcome.violations);
     assert!(outcome.tally.count(Ended::Ok) > 0, "{}", outcome.tally);
 }
 
+/// Guards against calls that run twice because the node that forwarded them was killed, and against
+/// a restarted node that gets no more calls.
 #[test]
-fn a_killed_node_makes_nothing_run_twice_and_comes_back() {
-    let back = std::cell::Cell::new(0);
-    let outcome = play(3, &["intake-1", "intake-2", "counter-2"], async |fleet| {
-        pass(Duration::from_secs(1)).await;
+fn a_killed_node_causes_no_second_run_and_serves_after_its_restart() {
+    let restarted_us = std::cell::Cell::new(0);
+    let outcome = run_under_load(3, &["intake-1", "intake-2", "counter-2"], async |fleet| {
+        sleep(Duration::from_secs(1)).await;
         fleet.kill_node("counter-1")?;
-        pass(Duration::from_secs(2)).await;
+        sleep(Duration::from_secs(2)).await;
         fleet.start_node("counter-1")?;
         fleet.wait_for("the node is ready again", || fleet.is_ready("counter-1")).await?;
-        back.set(now_us());
+        restarted_us.set(now_us());
         let served = || async {
             let ledger = fleet.witness().so_far();
-            let count = ledger.runs_on("counter-1").filter(|run| run.at_us > back.get()).count();
+            let count =
+                ledger.runs_on("counter-1").filter(|run| run.at_us > restarted_us.get()).count();
             count > 0
         };
         fleet.wait_for("work reaches the upstream again", served).await
     });
-    assert_kept(&outcome);
+    assert_no_violations_and_service(&outcome);
 }
 
+/// Guards against calls that run twice because their node was stopped for 7 seconds, and against a
+/// resumed node that gets no more calls.
 #[test]
-fn a_frozen_node_makes_nothing_run_twice_and_thaws() {
-    let thawed = std::cell::Cell::new(0);
-    let outcome = play(4, &["intake-1", "intake-2", "counter-2"], async |fleet| {
-        pass(Duration::from_secs(1)).await;
+fn a_frozen_node_causes_no_second_run_and_serves_after_it_resumes() {
+    let resumed_us = std::cell::Cell::new(0);
+    let outcome = run_under_load(4, &["intake-1", "intake-2", "counter-2"], async |fleet| {
+        sleep(Duration::from_secs(1)).await;
         fleet.signal_node("counter-1", Signal::SIGSTOP)?;
-        pass(Duration::from_secs(7)).await;
+        sleep(Duration::from_secs(7)).await;
         fleet.signal_node("counter-1", Signal::SIGCONT)?;
-        thawed.set(now_us());
+        resumed_us.set(now_us());
         let served = || async {
             let ledger = fleet.witness().so_far();
-            let count = ledger.runs_on("counter-1").filter(|run| run.at_us > thawed.get()).count();
+            let count =
+                ledger.runs_on("counter-1").filter(|run| run.at_us > resumed_us.get()).count();
             count > 5
         };
         fleet.wait_for("work reaches the upstream again", served).await
     });
-    assert_kept(&outcome);
+    assert_no_violations_and_service(&outcome);
 }
 
+/// Guards against calls that run twice because their upstream was killed while they were in
+/// progress.
 #[test]
-fn a_killed_upstream_makes_nothing_run_twice() {
-    let outcome = play(5, &["intake-1", "intake-2", "counter-2"], async |fleet| {
-        pass(Duration::from_secs(1)).await;
+fn a_killed_upstream_causes_no_second_run() {
+    let outcome = run_under_load(5, &["intake-1", "intake-2", "counter-2"], async |fleet| {
+        sleep(Duration::from_secs(1)).await;
         fleet.kill_upstream("counter-1")?;
-        pass(Duration::from_secs(2)).await;
+        sleep(Duration::from_secs(2)).await;
         fleet.start_upstream("counter-1")?;
-        pass(Duration::from_secs(1)).await;
+        sleep(Duration::from_secs(1)).await;
         Ok(())
     });
-    assert_kept(&outcome);
+    assert_no_violations_and_service(&outcome);
 }
 
+/// Guards against a second run of a call with an idempotency key: the repeat waits unread in a
+/// stopped node until the other nodes have forgotten the key.
 #[test]
-fn a_repeat_that_lay_in_a_frozen_node_for_longer_than_its_key_is_kept_is_not_run() {
-    let _turn = turn();
+fn a_repeat_that_waited_in_a_frozen_node_beyond_key_memory_is_not_run() {
+    let _permit = fleet_permit();
     let _limit = sycamore_bench::fleet::guard::limit_run(Duration::from_secs(120));
     http::run(async {
         let (memory, lag) = (Duration::from_secs(2), Duration::from_secs(1));
         let settings = [("key_memory", memory), ("view_lag", lag)]
             .map(|(key, time)| ("calls".into(), key.into(), format!("{}s", time.as_secs())));
-        let options = Options { seed: 7302, settings: settings.into(), ..small() };
+        let options = Options { seed: 7302, settings: settings.into(), ..small_fleet() };
         let fleet = Fleet::start(options).await.expect("the fleet starts");
-        pass(memory + lag).await;
+        sleep(memory + lag).await;
         let addr = |name| fleet.addrs(name).expect("an instance").caller;
         let kind = CallKind::repeated("intake");
         let call = Call {
@@ -91,12 +101,12 @@
         let caller = Caller::default();
         assert_eq!(caller.send(&call).await.ended, Ended::Ok);
         fleet.signal_node("counter-1", Signal::SIGSTOP).expect("a node runs");
-        let thaw = async {
-            pass(memory + lag).await;
+        let resume = async {
+            sleep(memory + lag).await;
             fleet.signal_node("counter-1", Signal::SIGCONT).expect("a node runs");
         };
         let repeat = Call { addrs: vec![addr("counter-1")], ..call.clone() };
-        let (record, ()) = futures::join!(caller.send(&repeat), thaw);
+        let (record, ()) = futures::join!(caller.send(&repeat), resume);
         assert_eq!(record.ended, Ended::Unknown, "{record:?}");
         let ledger = fleet.witness().ledger().await;
         assert_eq!(ledger.runs().get("lay-unread").map_or(0, Vec::len), 1);
--- a/crates/sycamore-bench/tests/process/main.rs
+++ b/crates/sycamore-bench/tests/process/main.rs
@@ -1,5 +1,6 @@
-//! Tests over real processes. They need the workspace's programs, as `scripts/test` builds them.
-//! Each waits for conditions with generous limits; a few run at a time.
+//! Tests on fleets of real processes. The workspace's binaries must have been built, as
+//! `scripts/test` does. Each test waits for conditions with generous limits, and a few run at a
+//! time.
 
 mod accept;
 mod change;
--- a/crates/sycamore-bench/tests/process/soak.rs
+++ b/crates/sycamore-bench/tests/process/soak.rs
@@ -1,20 +1,21 @@
-//! A short run of the fault soak. Longer ones, with fresh seeds, are run by hand.
+//! Short run of the fault soak on fixed seeds. Longer runs on new seeds are started by hand.
 
-use crate::support::turn;
+use crate::support::fleet_permit;
 use std::time::Duration;
 use sycamore_bench::{http, soak};
 
-/// Seconds in which faults begin.
+/// Time within which the faults begin and end.
 const TIME: Duration = Duration::from_secs(8);
-/// Longest time that a seed may take.
+/// Longest time that the run of one seed may take.
 const LIMIT: Duration = Duration::from_secs(120);
 
+/// Guards against violations that only overlapping faults cause.
 #[test]
-fn promises_hold_under_overlapping_faults() {
+fn guarantees_hold_under_overlapping_faults() {
     for seed in [12, 101] {
-        let _turn = turn();
+        let _permit = fleet_permit();
         let _limit = sycamore_bench::fleet::guard::limit_run(LIMIT);
-        let outcome = http::run(soak::play(seed, TIME)).expect("the soak can be played");
+        let outcome = http::run(soak::play(seed, TIME)).expect("the soak runs to its end");
         assert!(outcome.breaches.is_empty(), "seed {seed}: {outcome:#?}");
     }
 }
--- a/crates/sycamore-bench/tests/process/support.rs
+++ b/crates/sycamore-bench/tests/process/support.rs
@@ -1,4 +1,4 @@
-//! A small fleet with load beside a story.
+//! Small fleet under load, on which a test runs its scenario.
 
 use futures::future::{join, select, Either};
 use std::pin::pin;
@@ -10,42 +10,44 @@
 use sycamore_bench::witness::Ledger;
 use sycamore_bench::{http, Result};
 
-/// Fleets that run at the same time.
-const FLEETS: usize = 3;
+/// Most fleets that run at the same time.
+const MAX_FLEETS: usize = 3;
 
+/// Number of running fleets.
 static RUNNING: Mutex<usize> = Mutex::new(0);
+/// Signals that a fleet has ended.
 static FREED: Condvar = Condvar::new();
 
-/// Longest time that one test may take before its processes are ended.
+/// Longest time that one test may run before its processes are killed.
 const LIMIT: Duration = Duration::from_secs(600);
 
-/// Time for which views of two nodes may differ, as nodes assume by default.
+/// Default of `[calls] view_lag`: time for which the membership views of two nodes may differ.
 const VIEW_LAG: Duration = Duration::from_secs(10);
 
-/// Mean work of a booking, in microseconds.
+/// Mean time that a booking takes the upstream, in microseconds.
 const BOOKING_US: u64 = 800_000;
 
-/// Leave to run a fleet, given back when dropped.
-pub struct Turn;
+/// Permit to run a fleet, returned when dropped.
+pub struct FleetPermit;
 
-/// Waits for leave to run a fleet.
-pub fn turn() -> Turn {
+/// Blocks until fewer than [`MAX_FLEETS`] fleets run.
+pub fn fleet_permit() -> FleetPermit {
     let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
-    let full = |running: &mut usize| *running >= FLEETS;
+    let full = |running: &mut usize| *running >= MAX_FLEETS;
     let mut running = FREED.wait_while(running, full).unwrap_or_else(PoisonError::into_inner);
     *running += 1;
-    Turn
+    FleetPermit
 }
 
-impl Drop for Turn {
+impl Drop for FleetPermit {
     fn drop(&mut self) {
         *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
         FREED.notify_one();
     }
 }
 
-/// Two services with three upstreams each.
-pub fn small() -> Options {
+/// Returns the options of a fleet with two services of three upstreams each.
+pub fn small_fleet() -> Options {
     let service = |name: &str| ServiceSpec { name: name.into(), upstreams: 3 };
     let services = vec![service("counter"), service("intake")];
     Options {
@@ -55,37 +57,40 @@
     }
 }
 
-/// What a story under load brought.
+/// Result of a scenario under load.
 pub struct Outcome {
-    /// What callers saw.
+    /// Answers that callers got.
     pub tally: Tally,
-    /// What ran.
+    /// Requests that ran on upstreams.
     pub ledger: Ledger,
-    /// Broken promises.
+    /// Violated guarantees.
     pub violations: Violations,
 }
 
-/// Plays `story` on a small fleet while calls arrive; load ends with the story.
-pub fn play(
+/// Runs `scenario` on a small fleet under mixed calls to the nodes `callers_at`, or to all nodes if
+/// it is empty. The load ends with the scenario.
+pub fn run_under_load(
     seed: u64,
     callers_at: &[&str],
-    story: impl AsyncFnOnce(&Fleet) -> Result<()>,
+    scenario: impl AsyncFnOnce(&Fleet) -> Result<()>,
 ) -> Outcome {
-    let _turn = turn();
+    let _permit = fleet_permit();
     let _limit = sycamore_bench::fleet::guard::limit_run(LIMIT);
     http::run(async {
-        let fleet = Fleet::start(Options { seed, ..small() }).await.expect("the fleet starts");
-        // Until then no node can know of earlier runs, and keyed calls are answered as perhaps run.
-        pass(KEY_MEMORY + VIEW_LAG).await;
-        load_beside(&fleet, seed, callers_at, story).await
+        let fleet =
+            Fleet::start(Options { seed, ..small_fleet() }).await.expect("the fleet starts");
+        // Until these times have passed, nodes can't know of earlier runs and answer calls with
+        // idempotency keys as perhaps run.
+        sleep(KEY_MEMORY + VIEW_LAG).await;
+        run_with_load(&fleet, seed, callers_at, scenario).await
     })
 }
 
-async fn load_beside(
+async fn run_with_load(
     fleet: &Fleet,
     seed: u64,
     callers_at: &[&str],
-    story: impl AsyncFnOnce(&Fleet) -> Result<()>,
+    scenario: impl AsyncFnOnce(&Fleet) -> Result<()>,
 ) -> Outcome {
     let done = std::cell::Cell::new(false);
     let watch = ConfigWatch::default();
@@ -97,18 +102,18 @@
         kinds: slow_bookings(without_chains(mixed_call_kinds(&fleet.options().deployment))),
         ..load::Options::default()
     };
-    let story = async {
-        let told = story(fleet).await;
+    let scenario = async {
+        let result = scenario(fleet).await;
         done.set(true);
-        told
+        result
     };
-    let work = join(load::run_until(&load, || done.get()), story);
-    let care = join(fleet.tend(), watch.run(fleet));
-    let (tally, told) = match select(pin!(work), pin!(care)).await {
+    let work = join(load::run_until(&load, || done.get()), scenario);
+    let upkeep = join(fleet.tend(), watch.run(fleet));
+    let (tally, result) = match select(pin!(work), pin!(upkeep)).await {
         Either::Left((both, _)) => both,
-        Either::Right(_) => unreachable!("a fleet is tended for ever"),
+        Either::Right(_) => unreachable!("the upkeep of a fleet never ends"),
     };
-    told.expect("the story can be told");
+    result.expect("the scenario succeeds");
     let ledger = fleet.witness().ledger().await;
     let mut violations = tally.violations(&ledger);
     violations += watch.violations();
@@ -125,12 +130,13 @@
     vec![Target { prefix: "/".into(), addrs: addrs.collect() }]
 }
 
-/// A call onward has its own outcome, which is not the caller's; these tests judge the caller's.
+/// Removes the kinds whose calls call another service: the outcome of such a call is not the
+/// caller's, which these tests check.
 fn without_chains(kinds: Vec<CallKind>) -> Vec<CallKind> {
     kinds.into_iter().filter(|kind| kind.onward.is_empty()).collect()
 }
 
-/// Bookings take long, so that some are in flight whenever a process is disturbed.
+/// Makes bookings slow, so that some are in flight whenever a process is disturbed.
 fn slow_bookings(kinds: Vec<CallKind>) -> Vec<CallKind> {
     let slow = |kind: CallKind| match kind.is_idempotent() {
         true => kind,
@@ -139,7 +145,7 @@
     kinds.into_iter().map(slow).collect()
 }
 
-/// Lets load pass for a while.
-pub async fn pass(time: Duration) {
+/// Waits for `time` while the load goes on.
+pub async fn sleep(time: Duration) {
     monoio::time::sleep(time).await;
 }
--- a/crates/sycamore-bench/tests/soak.rs
+++ b/crates/sycamore-bench/tests/soak.rs
@@ -95,8 +95,8 @@
     assert_eq!(judged(late, &ran(1)), ["answer late"]);
 }
 
-/// Guards against late answers that are excused by a fault which had ended before the call or began after
-/// it.
+/// Guards against late answers that are excused by a fault which had ended before the call or began
+/// after it.
 #[test]
 fn a_late_answer_is_excused_only_during_a_fault_at_its_node() {
     let late = Record { latency: Duration::from_secs(3), ..record(Ended::Unknown) };
