--- a/crates/sycamore-bench/src/soak/mod.rs
+++ b/crates/sycamore-bench/src/soak/mod.rs
@@ -216,7 +216,7 @@
         time,
         limit: CALL_TIMEOUT + CALLER_SLACK,
         targets: vec![Target { prefix: "/".into(), addrs }],
-        kinds: measure::kinds(&fleet.options().deployment)
+        kinds: measure::mixed_call_kinds(&fleet.options().deployment)
             .into_iter()
             .filter_map(soak_kind)
             .collect(),
