--- a/crates/sycamore-config/src/follow.rs
+++ b/crates/sycamore-config/src/follow.rs
@@ -2,7 +2,7 @@
 
 use sycamore_types::prelude::*;
 
-/// NextRead read of the platform's operator rows.
+/// Read of the platform's operator rows to send next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextRead {
     /// Reads the changes after the last one received.
--- a/crates/sycamore-moves/src/verdict/judge.rs
+++ b/crates/sycamore-moves/src/verdict/judge.rs
@@ -26,8 +26,8 @@
     /// Probability that a step is cleared for a version whose excess failure rate is the step's
     /// margin.
     pub beta: f64,
-    /// Minimum number of hits of the new version for a verdict. One request that crashes upstreams causes two
-    /// before it is quarantined.
+    /// Minimum number of hits of the new version for a verdict. One request that crashes upstreams
+    /// causes two before it is quarantined.
     pub min_hits: u64,
     /// Rate of failed, rejected or shed calls that is tolerated in any version, as a fraction of
     /// calls.
--- a/crates/sycamore-node/src/edge/mod.rs
+++ b/crates/sycamore-node/src/edge/mod.rs
@@ -129,7 +129,7 @@
 pub struct Process {
     /// Upstream's own name of the process; `None` if it gives none.
     pub name: Option<String>,
-    /// Start of the process as civil time; `None` if it gives none.
+    /// Wall-clock time at which the process started; `None` if the message gives none.
     pub started: Option<WallTime>,
 }
 
--- a/crates/sycamore-node/src/operator/serve.rs
+++ b/crates/sycamore-node/src/operator/serve.rs
@@ -97,7 +97,7 @@
         .serve_connection(MonoioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        slog::debug!(node.hub.log, "operator connection failed"; "error" => %error);
+        slog::debug!(node.hub.log, "operator connection broken"; "error" => %error);
     }
 }
 
--- a/crates/sycamore-types/src/stamp.rs
+++ b/crates/sycamore-types/src/stamp.rs
@@ -8,14 +8,14 @@
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp {
-    /// Highest civil time seen so far.
+    /// Highest wall-clock time seen so far.
     pub wall: WallTime,
     /// Counter that orders events with equal `wall`.
     pub logical: u32,
 }
 
 impl Stamp {
-    /// Returns the stamp of a local event at civil time `now`.
+    /// Returns the stamp of a local event at wall-clock time `now`.
     #[must_use]
     pub fn tick(self, now: WallTime) -> Stamp {
         if now > self.wall {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the stamp for receiving a message with stamp `other` at civil time `now`.
+    /// Returns the stamp for receiving a message with stamp `other` at wall-clock time `now`.
     #[must_use]
     pub fn merge(self, other: Stamp, now: WallTime) -> Stamp {
         self.max(other).tick(now)
--- a/crates/sycamore-types/src/time.rs
+++ b/crates/sycamore-types/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in monotonic and civil time.
+//! Points in monotonic and wall-clock time.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -38,7 +38,7 @@
     }
 }
 
-/// Point in civil time, in milliseconds since the Unix epoch; clocks of different instances may
+/// Point in wall-clock time, in milliseconds since the Unix epoch; clocks of different instances may
 /// differ by seconds.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
