--- a/crates/sycamore-http/src/conn/client.rs
+++ b/crates/sycamore-http/src/conn/client.rs
@@ -117,7 +117,7 @@
     fn take_idle(&self) -> Option<Pooled> {
         loop {
             let mut conn = self.idle.borrow_mut().pop()?;
-            let closed = conn.reader.closed().now_or_never().is_some();
+            let closed = conn.reader.wait_until_closed().now_or_never().is_some();
             if !closed && !conn.reader.has_unread() {
                 return Some(conn);
             }
--- a/crates/sycamore-http/src/conn/reader.rs
+++ b/crates/sycamore-http/src/conn/reader.rs
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// [`ReadError::Closed`] if the peer closed the connection, [`ReadError::Io`] if reading failed.
-    pub async fn wait(&mut self) -> Result<(), ReadError> {
+    pub async fn wait_for_message(&mut self) -> Result<(), ReadError> {
         if self.buf.is_empty() && self.fill().await? == 0 {
             return Err(ReadError::Closed);
         }
@@ -111,7 +111,7 @@
     /// # Errors
     /// [`ReadError::Cut`] if the stream ends within the body, [`ReadError::Body`] if the framing is
     /// invalid, [`ReadError::Io`] if reading failed.
-    pub async fn piece(&mut self, body: &mut BodyDecoder) -> Result<Option<Bytes>, ReadError> {
+    pub async fn body_piece(&mut self, body: &mut BodyDecoder) -> Result<Option<Bytes>, ReadError> {
         loop {
             match body.decode(&mut self.buf)? {
                 Piece::Data(data) => return Ok(Some(data)),
@@ -132,10 +132,10 @@
     ///
     /// # Errors
     /// [`ReadError::BodyTooLarge`] if the body is larger than `limit`, and the errors of
-    /// [`Reader::piece`].
+    /// [`Reader::body_piece`].
     pub async fn body(&mut self, mut body: BodyDecoder, limit: usize) -> Result<Bytes, ReadError> {
         let mut whole = BytesMut::new();
-        while let Some(piece) = self.piece(&mut body).await? {
+        while let Some(piece) = self.body_piece(&mut body).await? {
             if whole.len() + piece.len() > limit {
                 return Err(ReadError::BodyTooLarge);
             }
@@ -148,7 +148,7 @@
     ///
     /// Bytes that arrive meanwhile are buffered. Once the buffer holds `MAX_READ_AHEAD_BYTES`,
     /// nothing more is read and the future never completes.
-    pub async fn closed(&mut self) {
+    pub async fn wait_until_closed(&mut self) {
         while self.buf.len() < MAX_READ_AHEAD_BYTES {
             match self.fill().await {
                 Ok(0) | Err(_) => return,
--- a/crates/sycamore-http/src/conn/server.rs
+++ b/crates/sycamore-http/src/conn/server.rs
@@ -86,9 +86,12 @@
 
     /// Waits until the next request begins. Returns `false` if the connection is to be closed, the
     /// peer closed it, or it was idle for longer than [`ServeConfig::idle_time`].
-    pub async fn wait(&mut self) -> bool {
+    pub async fn wait_for_request(&mut self) -> bool {
         !self.close
-            && matches!(timeout(self.config.idle_time, self.reader.wait()).await, Ok(Ok(())))
+            && matches!(
+                timeout(self.config.idle_time, self.reader.wait_for_message()).await,
+                Ok(Ok(()))
+            )
     }
 
     /// Reads the next request; `None` if the peer closed the connection instead. An invalid or
@@ -160,8 +163,8 @@
     }
 
     /// Waits until the peer closes the connection.
-    pub async fn closed(&mut self) {
-        self.reader.closed().await;
+    pub async fn wait_until_closed(&mut self) {
+        self.reader.wait_until_closed().await;
     }
 }
 
@@ -186,7 +189,7 @@
     let mut conn = Connection::new(stream, config.clone());
     let mut stop = pin!(stop);
     loop {
-        let has_request = match select(pin!(conn.wait()), &mut stop).await {
+        let has_request = match select(pin!(conn.wait_for_request()), &mut stop).await {
             Either::Left((has_request, _)) => has_request,
             Either::Right(((), _)) => false,
         };
--- a/crates/sycamore-node/src/calls/beside.rs
+++ b/crates/sycamore-node/src/calls/beside.rs
@@ -95,7 +95,9 @@
         objective: meta.objective,
         work: meta.work(),
     };
-    let slot = match select(pin!(acquire(state, arrival)), pin!(inbound.reader.closed())).await {
+    let slot = match select(pin!(acquire(state, arrival)), pin!(inbound.reader.wait_until_closed()))
+        .await
+    {
         Either::Left((slot, _)) => slot,
         Either::Right(_) => return Ok(None),
     };
--- a/crates/sycamore-node/src/calls/exchange.rs
+++ b/crates/sycamore-node/src/calls/exchange.rs
@@ -153,7 +153,7 @@
 
 async fn answer_head(inbound: &mut Inbound, out: &mut Stream) -> Result<ResponseHead, Failure> {
     let answered = out.reader.response_head(&HeadLimits::DEFAULT);
-    let gone = inbound.reader.closed();
+    let gone = inbound.reader.wait_until_closed();
     match select(pin!(answered), pin!(gone)).await {
         Either::Left((head, _)) => head.map_err(|_| Failure::Broken),
         Either::Right(_) => Err(Failure::CallerGone),
@@ -179,7 +179,7 @@
     let mut decoder = BodyDecoder::new(framing);
     let encoder = BodyEncoder::new(framing);
     let relay = relay_body(&mut out.reader, &mut decoder, &mut inbound.writer, encoder, first);
-    let gone = inbound.reader.closed();
+    let gone = inbound.reader.wait_until_closed();
     let relayed = match timeout(left, select(pin!(relay), pin!(gone))).await {
         Err(_) => return Relayed::Failed(Failure::Deadline),
         Ok(Either::Right(_)) => return Relayed::Failed(Failure::CallerGone),
--- a/crates/sycamore-node/src/calls/message.rs
+++ b/crates/sycamore-node/src/calls/message.rs
@@ -97,7 +97,7 @@
     /// Reads the body until it is complete or [`PREFIX_BYTES`] are buffered.
     pub(super) async fn read_prefix(&mut self, inbound: &mut Inbound) -> Result<(), ReadError> {
         while self.prefix.len() < PREFIX_BYTES {
-            match inbound.reader.piece(&mut self.decoder).await? {
+            match inbound.reader.body_piece(&mut self.decoder).await? {
                 Some(piece) => self.prefix.extend_from_slice(&piece),
                 None => {
                     // A complete body is forwarded with its length, also if it came in chunks.
--- a/crates/sycamore-node/src/calls/pipeline.rs
+++ b/crates/sycamore-node/src/calls/pipeline.rs
@@ -110,7 +110,7 @@
             let (limits, _) = serve::head_limits(state, inbound.listener);
             return Some(inbound.message(&limits).await);
         }
-        inbound.reader.closed().await;
+        inbound.reader.wait_until_closed().await;
         None
     };
     let mut more = pin!(more);
@@ -127,7 +127,7 @@
 /// Reads the next request on an idle connection.
 async fn read_next(state: &State, inbound: &mut Inbound, stop: &mut Stop) -> Event {
     let idle_timeout = serve::idle_timeout(state, inbound.listener);
-    let begun = stop.or(timeout(idle_timeout, inbound.reader.wait())).await;
+    let begun = stop.or(timeout(idle_timeout, inbound.reader.wait_for_message())).await;
     if !matches!(begun, Some(Ok(Ok(())))) {
         return Event::End;
     }
--- a/crates/sycamore-node/src/calls/pool.rs
+++ b/crates/sycamore-node/src/calls/pool.rs
@@ -33,7 +33,7 @@
 
     /// Returns whether the peer has closed the connection or sent bytes without a request.
     fn is_stale(&mut self) -> bool {
-        self.reader.closed().now_or_never().is_some() || self.reader.has_unread()
+        self.reader.wait_until_closed().now_or_never().is_some() || self.reader.has_unread()
     }
 }
 
--- a/crates/sycamore-node/src/calls/serve.rs
+++ b/crates/sycamore-node/src/calls/serve.rs
@@ -55,7 +55,9 @@
         return pipeline::connection(state, &mut inbound, peer, stop).await;
     }
     loop {
-        let begun = stop.or(timeout(idle_timeout(state, listener), inbound.reader.wait())).await;
+        let begun = stop
+            .or(timeout(idle_timeout(state, listener), inbound.reader.wait_for_message()))
+            .await;
         if !matches!(begun, Some(Ok(Ok(())))) {
             return;
         }
--- a/crates/sycamore-node/tests/calls/upstream.rs
+++ b/crates/sycamore-node/tests/calls/upstream.rs
@@ -118,7 +118,7 @@
         let Ok(body) = reader.body(BodyDecoder::new(framing), usize::MAX).await else { return };
         let answer = {
             let work = work(&path, &body, shared);
-            let gone = reader.closed();
+            let gone = reader.wait_until_closed();
             match futures::future::select(std::pin::pin!(work), std::pin::pin!(gone)).await {
                 futures::future::Either::Left((answer, _)) => answer,
                 futures::future::Either::Right(_) => {
