--- a/crates/sycamore-call/src/announce/mod.rs
+++ b/crates/sycamore-call/src/announce/mod.rs
@@ -39,7 +39,11 @@
 
 impl AnnouncementLog {
     /// Records an announcement; `sequence` numbers the announcements of one process.
-    pub fn announced(&mut self, process: ProcessRef<'_>, sequence: Option<u64>) -> MessageOrder {
+    pub fn record_announcement(
+        &mut self,
+        process: ProcessRef<'_>,
+        sequence: Option<u64>,
+    ) -> MessageOrder {
         match (self.order_of(process), &mut self.current) {
             (ProcessOrder::Earlier, _) => MessageOrder::Earlier,
             (ProcessOrder::Same, Some(current)) => {
@@ -59,7 +63,7 @@
     }
 
     /// Records the message by which an upstream process leaves.
-    pub fn left(&mut self, process: ProcessRef<'_>) -> MessageOrder {
+    pub fn record_leave(&mut self, process: ProcessRef<'_>) -> MessageOrder {
         match (self.order_of(process), &mut self.current) {
             (ProcessOrder::Earlier, _) => MessageOrder::Earlier,
             (ProcessOrder::Same, Some(current)) => {
--- a/crates/sycamore-call/src/quarantine/mod.rs
+++ b/crates/sycamore-call/src/quarantine/mod.rs
@@ -77,7 +77,7 @@
     }
 
     /// Records that `request` was answered by an upstream that did not crash.
-    pub fn completed(&mut self, request: Fingerprint) {
+    pub fn record_completion(&mut self, request: Fingerprint) {
         self.completed.push_back(request);
         *self.completed_count.entry(request).or_default() += 1;
         if self.completed.len() > self.config.entries {
@@ -87,7 +87,12 @@
 
     /// Records that the upstream beside this node crashed while `in_flight` ran there; `crash`
     /// identifies the crash. Returns the facts to spread.
-    pub fn crashed(&mut self, now: WallTime, crash: u64, in_flight: &[Fingerprint]) -> Vec<Fact> {
+    pub fn record_crash(
+        &mut self,
+        now: WallTime,
+        crash: u64,
+        in_flight: &[Fingerprint],
+    ) -> Vec<Fact> {
         let until = now + self.config.quarantine;
         let facts: Vec<Fact> = self
             .implicated_by_crash(now, in_flight)
@@ -127,13 +132,13 @@
                 None
             }
             Fact::CrashSeen { fingerprint, crash, until } => {
-                self.record_crash(now, *fingerprint, *crash, *until)
+                self.count_crash(now, *fingerprint, *crash, *until)
             }
             _ => None,
         }
     }
 
-    fn record_crash(
+    fn count_crash(
         &mut self,
         now: WallTime,
         fingerprint: Fingerprint,
--- a/crates/sycamore-call/src/route/mod.rs
+++ b/crates/sycamore-call/src/route/mod.rs
@@ -168,7 +168,7 @@
     }
 
     /// Records the outcome of an attempt at `instance`.
-    pub fn ended(&mut self, now: Time, instance: &InstanceId, end: AttemptEnd) {
+    pub fn record_end(&mut self, now: Time, instance: &InstanceId, end: AttemptEnd) {
         if let Some(peer) = self.peers.get_mut(instance) {
             peer.record_end(now, end, &self.config);
         }
--- a/crates/sycamore-call/tests/decisions/false_rate.rs
+++ b/crates/sycamore-call/tests/decisions/false_rate.rs
@@ -100,7 +100,7 @@
         self.running[node].retain(|request| {
             let ends = done.next().unwrap_or(false) && !is_poison(*request);
             if ends {
-                log.completed(*request);
+                log.record_completion(*request);
             }
             !ends
         });
@@ -125,7 +125,7 @@
         let in_flight = std::mem::take(&mut self.running[node]);
         self.count.in_flight_at_crash += in_flight.len() - 1;
         let crash = self.count.crashes as u64;
-        let facts = self.logs[node].crashed(now, crash, &in_flight);
+        let facts = self.logs[node].record_crash(now, crash, &in_flight);
         for fact in &facts {
             if let Fact::Quarantined { fingerprint, .. } = fact {
                 match is_poison(*fingerprint) {
--- a/crates/sycamore-call/tests/decisions/load/heavy_calls_across_data_centres.rs
+++ b/crates/sycamore-call/tests/decisions/load/heavy_calls_across_data_centres.rs
@@ -27,7 +27,7 @@
     };
     for (name, load) in [("near", near), ("far", far)] {
         let instance = InstanceId::new(name).unwrap();
-        router.ended(at(1), &instance, AttemptEnd::Answered(load));
+        router.record_end(at(1), &instance, AttemptEnd::Answered(load));
     }
     router.pick(at(2), &pick).unwrap().instance.to_string()
 }
--- a/crates/sycamore-call/tests/decisions/load/unproven_version_under_load.rs
+++ b/crates/sycamore-call/tests/decisions/load/unproven_version_under_load.rs
@@ -18,7 +18,7 @@
     router.update(at(0), &view);
     let half = Load { running: 5, limit: 10, queued: 0 };
     for member in &old {
-        router.ended(at(1), &member.instance, AttemptEnd::Answered(half));
+        router.record_end(at(1), &member.instance, AttemptEnd::Answered(half));
     }
     let (service, centre, region) = (service(), centre("a"), region());
     let (shares, bans) = (shares(9_000, 1_000), VersionBans::default());
--- a/crates/sycamore-call/tests/decisions/quarantine.rs
+++ b/crates/sycamore-call/tests/decisions/quarantine.rs
@@ -24,11 +24,11 @@
 #[test]
 fn a_second_crash_at_another_node_quarantines_the_request() {
     let (mut here, mut there) = (log(), log());
-    let first = here.crashed(WallTime(0), 100, &[POISON, HARMLESS]);
+    let first = here.record_crash(WallTime(0), 100, &[POISON, HARMLESS]);
     assert_eq!(quarantined(&first), []);
     first.iter().for_each(|fact| drop(there.learn(WallTime(1), fact)));
     assert_eq!(there.verdict(WallTime(1), POISON), Verdict::Suspect);
-    let second = there.crashed(WallTime(2), 200, &[POISON]);
+    let second = there.record_crash(WallTime(2), 200, &[POISON]);
     assert_eq!(quarantined(&second), [POISON]);
     let until = WallTime(2 + 600_000);
     assert_eq!(there.verdict(WallTime(3), POISON), Verdict::Quarantined(until));
@@ -53,12 +53,12 @@
 #[test]
 fn a_request_has_a_clean_record_after_its_quarantine() {
     let mut log = log();
-    log.crashed(WallTime(0), 1, &[POISON]);
-    log.crashed(WallTime(1), 2, &[POISON]);
+    log.record_crash(WallTime(0), 1, &[POISON]);
+    log.record_crash(WallTime(1), 2, &[POISON]);
     let end = WallTime(600_001);
     assert_eq!(log.verdict(WallTime(600_000), POISON), Verdict::Quarantined(end));
     assert_eq!(log.verdict(end, POISON), Verdict::Clear);
-    let facts = log.crashed(end, 3, &[POISON]);
+    let facts = log.record_crash(end, 3, &[POISON]);
     assert_eq!(quarantined(&facts), [], "it takes two crashes again");
 }
 
@@ -66,8 +66,8 @@
 #[test]
 fn a_request_that_completed_before_is_not_suspected() {
     let mut log = log();
-    log.completed(HARMLESS);
-    log.crashed(WallTime(0), 1, &[POISON, HARMLESS]);
+    log.record_completion(HARMLESS);
+    log.record_crash(WallTime(0), 1, &[POISON, HARMLESS]);
     assert_eq!(log.verdict(WallTime(1), HARMLESS), Verdict::Clear);
     assert_eq!(log.verdict(WallTime(1), POISON), Verdict::Suspect);
 }
@@ -76,8 +76,8 @@
 #[test]
 fn a_suspect_that_completes_is_cleared() {
     let mut log = log();
-    log.crashed(WallTime(0), 1, &[POISON, HARMLESS]);
-    log.completed(HARMLESS);
+    log.record_crash(WallTime(0), 1, &[POISON, HARMLESS]);
+    log.record_completion(HARMLESS);
     assert_eq!(log.verdict(WallTime(1), HARMLESS), Verdict::Clear);
 }
 
@@ -85,8 +85,8 @@
 #[test]
 fn a_crash_counts_against_the_only_suspect_in_flight() {
     let mut log = log();
-    log.crashed(WallTime(0), 1, &[POISON]);
-    let facts = log.crashed(WallTime(1), 2, &[POISON, HARMLESS]);
+    log.record_crash(WallTime(0), 1, &[POISON]);
+    let facts = log.record_crash(WallTime(1), 2, &[POISON, HARMLESS]);
     assert_eq!(quarantined(&facts), [POISON]);
     assert_eq!(log.verdict(WallTime(2), HARMLESS), Verdict::Clear);
 }
@@ -97,8 +97,8 @@
     let config = CrashLogConfig { entries: 10, ..CrashLogConfig::default() };
     let mut log = CrashLog::new(config);
     for i in 0..1_000 {
-        log.completed(Fingerprint(i));
-        log.crashed(WallTime(0), i, &[Fingerprint(10_000 + i)]);
+        log.record_completion(Fingerprint(i));
+        log.record_crash(WallTime(0), i, &[Fingerprint(10_000 + i)]);
     }
     let suspects = (0..1_000)
         .filter(|i| log.verdict(WallTime(1), Fingerprint(10_000 + i)) == Verdict::Suspect)
--- a/crates/sycamore-call/tests/decisions/route.rs
+++ b/crates/sycamore-call/tests/decisions/route.rs
@@ -44,7 +44,7 @@
         let mut counts = BTreeMap::new();
         for _ in 0..count {
             let chosen = self.pick(now).unwrap();
-            self.router.ended(now, &chosen, AttemptEnd::Answered(load));
+            self.router.record_end(now, &chosen, AttemptEnd::Answered(load));
             *counts.entry(chosen.to_string()).or_default() += 1;
         }
         counts
@@ -62,7 +62,7 @@
     let counts = fixture.spread(at(1), 100, IDLE);
     assert_eq!(counts.get("n"), Some(&100));
     let near = fixture.pick(at(2)).unwrap();
-    fixture.router.ended(at(2), &near, AttemptEnd::Answered(FULL));
+    fixture.router.record_end(at(2), &near, AttemptEnd::Answered(FULL));
     let spilled: Vec<_> = (0..10).map(|_| fixture.pick(at(3)).unwrap().to_string()).collect();
     assert!(spilled.iter().all(|name| name == "f"), "{spilled:?}");
 }
@@ -73,7 +73,7 @@
 fn an_outdated_load_report_is_ignored() {
     let mut fixture = Fixture::new([member("n", "1", "a"), member("f", "1", "b")]);
     let near = fixture.pick(at(0)).unwrap();
-    fixture.router.ended(at(0), &near, AttemptEnd::Answered(FULL));
+    fixture.router.record_end(at(0), &near, AttemptEnd::Answered(FULL));
     assert_eq!(fixture.pick(at(10)).unwrap().as_str(), "f");
     assert_eq!(fixture.pick(at(5_000)).unwrap().as_str(), "n");
 }
@@ -85,7 +85,7 @@
     for name in ["x", "y"] {
         // One answer from each instance makes both loads known.
         let load = if name == "x" { Load { running: 6, ..IDLE } } else { IDLE };
-        fixture.router.ended(at(0), &instance(name), AttemptEnd::Answered(load));
+        fixture.router.record_end(at(0), &instance(name), AttemptEnd::Answered(load));
     }
     let mut counts = BTreeMap::new();
     for _ in 0..6 {
@@ -114,7 +114,7 @@
     let mut fixture = Fixture::new(["w", "x", "y", "z"].map(|name| member(name, "1", "a")));
     for name in ["w", "x", "y", "z"] {
         for _ in 0..3 {
-            fixture.router.ended(at(100), &instance(name), AttemptEnd::Failed);
+            fixture.router.record_end(at(100), &instance(name), AttemptEnd::Failed);
         }
     }
     let mut left = BTreeMap::new();
@@ -123,7 +123,7 @@
     }
     assert_eq!(left.len(), 2, "half of the instances stay: {left:?}");
     for name in ["w", "x", "y", "z"] {
-        fixture.router.ended(at(2_500), &instance(name), AttemptEnd::Answered(IDLE));
+        fixture.router.record_end(at(2_500), &instance(name), AttemptEnd::Answered(IDLE));
     }
     assert_eq!(fixture.spread(at(2_600), 200, IDLE).len(), 4, "ejections end");
 }
@@ -133,9 +133,9 @@
 #[test]
 fn a_draining_instance_gets_no_calls() {
     let mut fixture = Fixture::new([member("x", "1", "a"), member("y", "1", "a")]);
-    fixture.router.ended(at(0), &instance("x"), AttemptEnd::Draining);
+    fixture.router.record_end(at(0), &instance("x"), AttemptEnd::Draining);
     assert_eq!(fixture.spread(at(1), 50, IDLE).get("x"), None);
-    fixture.router.ended(at(0), &instance("y"), AttemptEnd::Draining);
+    fixture.router.record_end(at(0), &instance("y"), AttemptEnd::Draining);
     assert_eq!(fixture.pick(at(2)), None);
 }
 
@@ -179,9 +179,9 @@
         fixture.router.has_room(at(10), &service(), &fixture.view, tried)
     };
     assert!(has_room(&fixture, &[]));
-    fixture.router.ended(at(5), &instance("x"), AttemptEnd::Answered(FULL));
+    fixture.router.record_end(at(5), &instance("x"), AttemptEnd::Answered(FULL));
     assert!(!has_room(&fixture, &[instance("y")]));
-    fixture.router.ended(at(5), &instance("y"), AttemptEnd::NoUpstream);
+    fixture.router.record_end(at(5), &instance("y"), AttemptEnd::NoUpstream);
     assert!(!has_room(&fixture, &[]));
 }
 
--- a/crates/sycamore-node/src/calls/announce.rs
+++ b/crates/sycamore-node/src/calls/announce.rs
@@ -57,7 +57,8 @@
         return Err(format!("announcement names service {other}, expected {own}"));
     }
     let process = process_ref(&announcement.process);
-    let heard = state.announcements.borrow_mut().announced(process, announcement.sequence);
+    let heard =
+        state.announcements.borrow_mut().record_announcement(process, announcement.sequence);
     if heard == MessageOrder::Current {
         state.metrics.count_announcement("taken");
         apply_announcement(state, announcement);
@@ -99,7 +100,7 @@
 }
 
 fn record_leave(state: &State, process: &Process) -> MessageOrder {
-    let heard = state.announcements.borrow_mut().left(process_ref(process));
+    let heard = state.announcements.borrow_mut().record_leave(process_ref(process));
     if heard == MessageOrder::Current {
         mark_draining(state);
         info!(state.hub.log, "upstream draining"; "upstream" => process.name.as_deref().unwrap_or("-"));
--- a/crates/sycamore-node/src/calls/beside.rs
+++ b/crates/sycamore-node/src/calls/beside.rs
@@ -301,7 +301,7 @@
         };
         self.slot.set_end(if shed { RunEnd::Overloaded } else { RunEnd::Answered });
         if !shed {
-            self.state.crashes.borrow_mut().completed(self.meta.fingerprint);
+            self.state.crashes.borrow_mut().record_completion(self.meta.fingerprint);
         }
         self.state.metrics.count_answer(if shed { "not-run" } else { "answered" }, "");
         self.report_outcome(kind);
--- a/crates/sycamore-node/src/calls/crash.rs
+++ b/crates/sycamore-node/src/calls/crash.rs
@@ -78,7 +78,7 @@
     state.crash_count.set(state.crash_count.get() + 1);
     let crash = crash_id(state);
     let now = state.hub.clock.wall();
-    let facts = state.crashes.borrow_mut().crashed(now, crash, &in_flight);
+    let facts = state.crashes.borrow_mut().record_crash(now, crash, &in_flight);
     for fact in facts {
         state.hub.raise(fact);
     }
--- a/crates/sycamore-node/src/calls/forward.rs
+++ b/crates/sycamore-node/src/calls/forward.rs
@@ -69,7 +69,7 @@
     /// Records that the answer was read whole, and keeps the connection for reuse.
     pub(super) fn record_success(self, state: &State) {
         let end = AttemptEnd::Answered(self.load);
-        state.router.borrow_mut().ended(state.now(), &self.instance, end);
+        state.router.borrow_mut().record_end(state.now(), &self.instance, end);
         if self.answered.is_reusable() && !self.stream.reader.has_unread() {
             state.relays.put(self.address, self.stream);
         }
@@ -77,7 +77,7 @@
 
     /// Records that the answer ended early.
     pub(super) fn record_failure(self, state: &State) {
-        state.router.borrow_mut().ended(state.now(), &self.instance, AttemptEnd::Failed);
+        state.router.borrow_mut().record_end(state.now(), &self.instance, AttemptEnd::Failed);
     }
 }
 
@@ -202,7 +202,7 @@
     out.meta.depth.is_retry = true;
     let Reply { stream, answered, instance, address, load } = *reply;
     let end = AttemptEnd::Answered(load);
-    state.router.borrow_mut().ended(state.now(), &instance, end);
+    state.router.borrow_mut().record_end(state.now(), &instance, end);
     reuse_after_refusal(state, stream, answered, address).await;
     None
 }
@@ -279,7 +279,7 @@
 ) -> Attempt {
     let now = state.now();
     if out.meta.left(now) == Duration::ZERO {
-        state.router.borrow_mut().ended(now, &choice.instance, AttemptEnd::Cancelled);
+        state.router.borrow_mut().record_end(now, &choice.instance, AttemptEnd::Cancelled);
         let answer = Answer::refused(RefusalReason::Deadline, DEFAULT_RETRY_AFTER);
         let failure = AttemptFailure::NotRun(RefusalReason::Deadline);
         return Attempt::Failed(FailedAttempt { failure, answer });
@@ -338,7 +338,7 @@
 impl AttemptGuard<'_> {
     fn end(&mut self, end: AttemptEnd) {
         self.ended = true;
-        self.state.router.borrow_mut().ended(self.state.now(), self.instance, end);
+        self.state.router.borrow_mut().record_end(self.state.now(), self.instance, end);
     }
 }
 
