--- a/crates/sycamore-call/src/retry/mod.rs
+++ b/crates/sycamore-call/src/retry/mod.rs
@@ -89,7 +89,7 @@
     /// Returns the failure to report for a call that is given up after `self`, given the failure
     /// reported by an `earlier` attempt: an attempt that may have run outweighs any later refusal.
     #[must_use]
-    pub fn after(self, earlier: Option<AttemptFailure>) -> AttemptFailure {
+    pub fn combine_with_earlier(self, earlier: Option<AttemptFailure>) -> AttemptFailure {
         match earlier {
             Some(unknown @ AttemptFailure::Unknown { .. }) => unknown,
             Some(AttemptFailure::NotRun(_)) | None => self,
@@ -145,7 +145,7 @@
     }
 
     /// Returns the number of retries accumulated.
-    pub fn saved(&self) -> f64 {
+    pub fn saved_retries(&self) -> f64 {
         self.saved
     }
 
--- a/crates/sycamore-call/tests/decisions/load/retry_storm_of_a_fleet.rs
+++ b/crates/sycamore-call/tests/decisions/load/retry_storm_of_a_fleet.rs
@@ -63,5 +63,5 @@
     let config = RetryConfig::default().shared_by(ALLOWED_EXTRA_RETRIES, 1);
     let mut budget = RetryBudget::new(config, 1);
     (0..1_000).for_each(|_| budget.first_attempt());
-    assert_eq!(budget.saved(), 10.0);
+    assert_eq!(budget.saved_retries(), 10.0);
 }
--- a/crates/sycamore-call/tests/decisions/retry.rs
+++ b/crates/sycamore-call/tests/decisions/retry.rs
@@ -124,7 +124,7 @@
         assert_eq!(decide(rerouted, false), RetryDecision::GiveUp);
     }
     assert_eq!(decide(2, true), RetryDecision::GiveUp, "no more than two");
-    assert_eq!(budget.saved(), 1.0, "the budget is not used");
+    assert_eq!(budget.saved_retries(), 1.0, "the budget is not used");
     let call = CallState { attempts: 1, rerouted: 0, has_room: true, ..CALL };
     let shed = AttemptFailure::NotRun(RefusalReason::Shed);
     assert_eq!(budget.decide(&call, shed), RetryDecision::GiveUp, "it reached an upstream");
--- a/crates/sycamore-node/src/calls/forward.rs
+++ b/crates/sycamore-node/src/calls/forward.rs
@@ -209,7 +209,8 @@
 
 fn record_failed_attempt(state: &State, out: &Call<'_>, choice: &Choice, failure: AttemptFailure) {
     let id = state.edges.calls.request_info(&out.msg.head).id;
-    let saved = state.with_retry_budget(&out.meta.service, out.retry, |budget| budget.saved());
+    let saved =
+        state.with_retry_budget(&out.meta.service, out.retry, |budget| budget.saved_retries());
     state.metrics.count_failed_attempt(&out.meta.service, failure.as_str(), saved);
     journal::log_failed_attempt(state, id.as_ref(), out.meta, choice, failure, saved);
 }
