--- a/crates/sycamore-call/src/retry/mod.rs
+++ b/crates/sycamore-call/src/retry/mod.rs
@@ -89,7 +89,7 @@
     /// Returns the failure to report for a call that is given up after `self`, given the failure
     /// reported by an `earlier` attempt: an attempt that may have run outweighs any later refusal.
     #[must_use]
-    pub fn combine_with_earlier(self, earlier: Option<AttemptFailure>) -> AttemptFailure {
+    pub fn or_earlier(self, earlier: Option<AttemptFailure>) -> AttemptFailure {
         match earlier {
             Some(unknown @ AttemptFailure::Unknown { .. }) => unknown,
             Some(AttemptFailure::NotRun(_)) | None => self,
--- a/crates/sycamore-call/tests/decisions/model/attempt.rs
+++ b/crates/sycamore-call/tests/decisions/model/attempt.rs
@@ -149,7 +149,7 @@
             Mutant::IgnoresEarlier => None,
             _ => state.earlier,
         };
-        let answer = failure.combine_with_earlier(earlier);
+        let answer = failure.or_earlier(earlier);
         state.earlier = Some(answer);
         state.attempt = match (budget.decide(&call, failure), answer) {
             (RetryDecision::Retry(_), _) => Attempt::Idle,
--- a/crates/sycamore-node/src/calls/failed.rs
+++ b/crates/sycamore-node/src/calls/failed.rs
@@ -22,9 +22,7 @@
     /// attempt if the call may have run there.
     pub(super) fn or_earlier(self, earlier: Option<FailedAttempt>) -> FailedAttempt {
         match earlier {
-            Some(earlier)
-                if self.failure.combine_with_earlier(Some(earlier.failure)) == earlier.failure =>
-            {
+            Some(earlier) if self.failure.or_earlier(Some(earlier.failure)) == earlier.failure => {
                 earlier
             }
             _ => self,
