--- a/crates/sycamore-node/src/calls/announce.rs
+++ b/crates/sycamore-node/src/calls/announce.rs
@@ -69,7 +69,7 @@
 fn apply_announcement(state: &State, announcement: Announcement) {
     let now = state.now();
     state.last_announced.set(now);
-    state.hub.dependencies.reached(&state.hub.log, now, Dependency::Upstream);
+    state.hub.dependencies.record_reached(&state.hub.log, now, Dependency::Upstream);
     let changed = state.hub.upstream.send_if_modified(|known| {
         let same = known.as_ref().filter(|known| {
             known.address == announcement.address
@@ -130,7 +130,7 @@
         if lost {
             let why = format!("no announcement for {} ms", silent.as_millis());
             let hub = &state.hub;
-            hub.dependencies.lost(&hub.log, state.now(), Dependency::Upstream, &why);
+            hub.dependencies.record_lost(&hub.log, state.now(), Dependency::Upstream, &why);
         }
     }
 }
--- a/crates/sycamore-node/src/config/driver.rs
+++ b/crates/sycamore-node/src/config/driver.rs
@@ -174,7 +174,7 @@
                 self.queue_fetch(Fetch { head, source, hashes });
             }
             Action::Apply(snapshot) => {
-                self.metrics.applied(snapshot.version, self.hub.clock.wall());
+                self.metrics.record_applied(snapshot.version, self.hub.clock.wall());
                 self.hub.publish_snapshot(snapshot);
             }
             Action::Reject { head, reason } => self.reject(head, &reason),
@@ -192,7 +192,7 @@
     fn reject(&self, head: ConfigHead, reason: &RejectReason) {
         let reason = reason.to_string();
         warn!(self.hub.log, "configuration rejected"; "version" => head.version.0, "reason" => &reason);
-        self.metrics.rejected();
+        self.metrics.count_rejected();
         let mut rejected = self.rejected.borrow_mut();
         rejected.retain(|earlier| earlier.head != head);
         rejected.push_back(Rejected { head, reason: reason.clone() });
--- a/crates/sycamore-node/src/config/find.rs
+++ b/crates/sycamore-node/src/config/find.rs
@@ -39,7 +39,7 @@
             }
             Err(_) => failures += 1,
         }
-        driver.metrics.platform(driver.platform.http().traffic());
+        driver.metrics.copy_platform_traffic(driver.platform.http().traffic());
         monoio::time::sleep(poll_delay(&driver, failures)).await;
     }
 }
--- a/crates/sycamore-node/src/config/follow.rs
+++ b/crates/sycamore-node/src/config/follow.rs
@@ -50,7 +50,7 @@
                 monoio::time::sleep(backoff.fail()).await;
             }
         }
-        driver.metrics.platform(driver.platform.http().traffic());
+        driver.metrics.copy_platform_traffic(driver.platform.http().traffic());
     }
 }
 
@@ -144,7 +144,7 @@
                 let why: Vec<String> = faults.iter().map(ToString::to_string).collect();
                 warn!(driver.hub.log, "operator configuration rejected"; "version" => version.0,
                     "faults" => why.join("; "));
-                driver.metrics.rejected();
+                driver.metrics.count_rejected();
             }
         }
     }
@@ -173,7 +173,7 @@
     }
 
     fn reject_row(&self, row: &Row, why: &str) {
-        self.driver.metrics.rejected();
+        self.driver.metrics.count_rejected();
         warn!(self.driver.hub.log, "operator row rejected"; "key" => &row.key,
             "revision" => row.revision.0, "why" => why);
     }
@@ -181,13 +181,18 @@
     fn record_failure(&self, error: &Error) {
         self.driver.watches_rows.set(false);
         let hub = &self.driver.hub;
-        hub.dependencies.lost(&hub.log, hub.clock.now(), Dependency::Platform, &error.to_string());
+        hub.dependencies.record_lost(
+            &hub.log,
+            hub.clock.now(),
+            Dependency::Platform,
+            &error.to_string(),
+        );
     }
 
     fn record_success(&self) {
         self.driver.watches_rows.set(true);
         let hub = &self.driver.hub;
-        hub.dependencies.reached(&hub.log, hub.clock.now(), Dependency::Platform);
-        self.driver.metrics.followed(hub.clock.wall());
+        hub.dependencies.record_reached(&hub.log, hub.clock.now(), Dependency::Platform);
+        self.driver.metrics.record_rows_read(hub.clock.wall());
     }
 }
--- a/crates/sycamore-node/src/config/metrics.rs
+++ b/crates/sycamore-node/src/config/metrics.rs
@@ -51,18 +51,18 @@
     }
 
     /// Records that configuration `version` was applied at `at`.
-    pub(super) fn applied(&self, version: ConfigVersion, at: WallTime) {
+    pub(super) fn record_applied(&self, version: ConfigVersion, at: WallTime) {
         self.applied_at.set(seconds(at));
         self.version.set(i64::try_from(version.0).unwrap_or(i64::MAX));
     }
 
     /// Records that a read of operators' rows succeeded at `at`, with or without changes.
-    pub(super) fn followed(&self, at: WallTime) {
+    pub(super) fn record_rows_read(&self, at: WallTime) {
         self.followed_at.set(seconds(at));
     }
 
     /// Counts a rejected configuration or operator row.
-    pub(super) fn rejected(&self) {
+    pub(super) fn count_rejected(&self) {
         self.rejected.inc();
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Copies the request and byte counts of the platform client.
-    pub(super) fn platform(&self, traffic: &Traffic) {
+    pub(super) fn copy_platform_traffic(&self, traffic: &Traffic) {
         let counts = [
             ("read", &traffic.reads),
             ("write", &traffic.writes),
--- a/crates/sycamore-node/src/hub/dependency.rs
+++ b/crates/sycamore-node/src/hub/dependency.rs
@@ -54,7 +54,7 @@
     }
 
     /// Records that `dependency` answered at `now`, and logs the end of an outage.
-    pub fn reached(&self, log: &Logger, now: Time, dependency: Dependency) {
+    pub fn record_reached(&self, log: &Logger, now: Time, dependency: Dependency) {
         self.up.with_label_values(&[dependency.as_str()]).set(1);
         if let Some(since) = self.lost_since(dependency).take() {
             info!(log, "{} regained", dependency.as_str();
@@ -64,7 +64,7 @@
 
     /// Records that `dependency` is lost since `now`, with the reason `why` for the log. Repeated
     /// calls in one outage have no effect.
-    pub fn lost(&self, log: &Logger, now: Time, dependency: Dependency, why: &str) {
+    pub fn record_lost(&self, log: &Logger, now: Time, dependency: Dependency, why: &str) {
         let since = self.lost_since(dependency);
         if since.get().is_none() {
             since.set(Some(now));
--- a/crates/sycamore-node/src/hub/mod.rs
+++ b/crates/sycamore-node/src/hub/mod.rs
@@ -233,7 +233,7 @@
     }
 
     /// Waits until no call is in flight on this node.
-    pub async fn idle(&self) {
+    pub async fn wait_until_idle(&self) {
         loop {
             let done = self.in_flight_done.notified();
             if self.in_flight.get() == 0 {
--- a/crates/sycamore-node/tests/calls/cancel.rs
+++ b/crates/sycamore-node/tests/calls/cancel.rs
@@ -96,9 +96,12 @@
             hub.set_phase(sycamore_node::hub::Phase::Closing);
             let resp = cluster.try_call(0, post("/counter/echo"), "x").await.unwrap();
             assert_eq!(field(&resp, headers::OUTCOME), "not-run");
-            assert!(hub.idle().now_or_never().is_none(), "the drain waits for the running call");
+            assert!(
+                hub.wait_until_idle().now_or_never().is_none(),
+                "the drain waits for the running call"
+            );
             cluster.nodes[0].upstream.release();
-            hub.idle().await;
+            hub.wait_until_idle().await;
         };
         let (resp, ()) = futures::join!(first, drain);
         assert_eq!(&resp.body()[..], b"whole");
--- a/crates/sycamore-node/tests/hub.rs
+++ b/crates/sycamore-node/tests/hub.rs
@@ -129,16 +129,16 @@
         metric.get_gauge().get_value()
     };
     assert_eq!(up(&hub), 0.0);
-    hub.dependencies.reached(log, at(1), Dependency::Platform);
+    hub.dependencies.record_reached(log, at(1), Dependency::Platform);
     assert_eq!(up(&hub), 1.0);
-    hub.dependencies.lost(log, at(2), Dependency::Platform, "no answer");
-    hub.dependencies.lost(log, at(3), Dependency::Platform, "no answer");
+    hub.dependencies.record_lost(log, at(2), Dependency::Platform, "no answer");
+    hub.dependencies.record_lost(log, at(3), Dependency::Platform, "no answer");
     assert_eq!(up(&hub), 0.0);
     assert_eq!(
         hub.dependencies.lost_for(at(5), Dependency::Platform),
         Some(Duration::from_secs(3))
     );
     assert_eq!(hub.dependencies.lost_for(at(5), Dependency::Upstream), None);
-    hub.dependencies.reached(log, at(6), Dependency::Platform);
+    hub.dependencies.record_reached(log, at(6), Dependency::Platform);
     assert_eq!(hub.dependencies.lost_for(at(7), Dependency::Platform), None);
 }
