--- a/crates/sycamore-node/src/peers/driver.rs
+++ b/crates/sycamore-node/src/peers/driver.rs
@@ -133,7 +133,7 @@
     fn publish(&self) {
         let view = self.machine.borrow().view();
         self.platform.http().set_nodes(view.members.len());
-        self.metrics.members(&view);
+        self.metrics.set_members(&view);
         self.hub.members.send_replace(Arc::new(view));
     }
 
@@ -143,7 +143,7 @@
             match action {
                 Action::Send { to, packet } => {
                     if self.send.try_send((to, packet)).is_err() {
-                        self.metrics.dropped();
+                        self.metrics.count_dropped();
                     }
                 }
                 Action::Exchange { peer, to, request } => self.queue_exchange(peer, to, request),
@@ -164,7 +164,7 @@
 
     fn queue_exchange(&self, peer: InstanceId, to: SocketAddr, request: ExchangeRequest) {
         if self.exchanges.try_send((peer, to, request)).is_err() {
-            self.metrics.dropped();
+            self.metrics.count_dropped();
         }
     }
 
--- a/crates/sycamore-node/src/peers/metrics.rs
+++ b/crates/sycamore-node/src/peers/metrics.rs
@@ -50,7 +50,7 @@
     }
 
     /// Copies the byte, connection and refusal counts of the sockets.
-    pub(super) fn traffic(&self, counters: &Counters) {
+    pub(super) fn copy_traffic(&self, counters: &Counters) {
         raise_to(&self.bytes.with_label_values(&["in"]), counters.bytes_in());
         raise_to(&self.bytes.with_label_values(&["out"]), counters.bytes_out());
         let connections = |kind| self.connections.with_label_values(&[kind]);
@@ -61,7 +61,7 @@
     }
 
     /// Sets the number of members in each state from `view`.
-    pub(super) fn members(&self, view: &MemberView) {
+    pub(super) fn set_members(&self, view: &MemberView) {
         for (state, label) in STATES {
             let count = view.members.values().filter(|member| member.state == state).count();
             self.members.with_label_values(&[label]).set(i64::try_from(count).unwrap_or(i64::MAX));
@@ -69,7 +69,7 @@
     }
 
     /// Counts a message dropped before sending because a queue was full.
-    pub(super) fn dropped(&self) {
+    pub(super) fn count_dropped(&self) {
         self.dropped.inc();
     }
 }
--- a/crates/sycamore-node/src/peers/tasks.rs
+++ b/crates/sycamore-node/src/peers/tasks.rs
@@ -37,7 +37,7 @@
         if round.is_multiple_of(HOUSEKEEPING_TICKS) {
             driver.calls.close_idle();
             driver.hub.facts.expire(driver.hub.clock.wall());
-            driver.metrics.traffic(driver.calls.counters());
+            driver.metrics.copy_traffic(driver.calls.counters());
         }
     }
 }
--- a/crates/sycamore-node/src/timeline/mod.rs
+++ b/crates/sycamore-node/src/timeline/mod.rs
@@ -72,7 +72,7 @@
     let Ok(body) = serde_json::to_vec(&batch.events) else { return false };
     match platform.http().put(&batch.key, Bytes::from(body)).await {
         Ok(_) => {
-            hub.timeline().borrow_mut().stored(&batch.key);
+            hub.timeline().borrow_mut().record_stored(&batch.key);
             true
         }
         Err(report) => {
--- a/crates/sycamore-node/src/timeline/recorder.rs
+++ b/crates/sycamore-node/src/timeline/recorder.rs
@@ -55,8 +55,8 @@
     }
 
     /// Records that the batch with `key` is in the object store.
-    pub fn stored(&mut self, key: &str) {
-        self.batcher.stored(key);
+    pub fn record_stored(&mut self, key: &str) {
+        self.batcher.record_stored(key);
     }
 
     /// Batch to write next at shutdown; `None` if all events are stored.
--- a/crates/sycamore-timeline/src/batch.rs
+++ b/crates/sycamore-timeline/src/batch.rs
@@ -86,7 +86,7 @@
     }
 
     /// Returns the batch to write at `now` in a fleet of `nodes`, if one is due. The same batch is
-    /// returned at each interval until [`Batcher::stored`] is called for it.
+    /// returned at each interval until [`Batcher::record_stored`] is called for it.
     pub fn due(&mut self, now: Time, nodes: usize) -> Option<Batch> {
         if now < self.next_write {
             return None;
@@ -100,7 +100,7 @@
     }
 
     /// Notes that the batch with this key is in the object store.
-    pub fn stored(&mut self, key: &str) {
+    pub fn record_stored(&mut self, key: &str) {
         if self.in_flight.as_ref().is_some_and(|batch| batch.key == key) {
             self.in_flight = None;
         }
@@ -113,7 +113,7 @@
     }
 
     /// Returns the number of events that were dropped.
-    pub fn lost(&self) -> u64 {
+    pub fn dropped_events(&self) -> u64 {
         self.dropped
     }
 
--- a/crates/sycamore-timeline/tests/timeline.rs
+++ b/crates/sycamore-timeline/tests/timeline.rs
@@ -86,7 +86,7 @@
     assert!(batcher.due(Time::from_secs(1), 1).is_none(), "before the interval has passed");
     batcher.push(&events("a", &[1, 2, 3])[2]);
     assert_eq!(batcher.due(Time::from_secs(2), 1), Some(first.clone()));
-    batcher.stored(&first.key);
+    batcher.record_stored(&first.key);
     assert_eq!(batcher.due(Time::from_secs(4), 1).expect("due").events[0].seq, 3);
 }
 
@@ -101,7 +101,7 @@
 fn a_batcher_drops_the_oldest_events_and_counts_them() {
     let mut batcher = batcher(BatchOptions { max_waiting: 3, ..BatchOptions::default() });
     events("a", &[1, 2, 3, 4, 5]).iter().for_each(|event| batcher.push(event));
-    assert_eq!(batcher.lost(), 2);
+    assert_eq!(batcher.dropped_events(), 2);
     assert_eq!(batcher.flush().expect("waiting").events[0].seq, 3);
 }
 
