--- a/crates/sycamore-cli/src/client/mod.rs
+++ b/crates/sycamore-cli/src/client/mod.rs
@@ -39,8 +39,8 @@
 }
 
 impl Client {
-    /// Creates a client for the nodes in `options`, or the local node where there are none, with the
-    /// token of the token file or of `SYCAMORESHIFT_TOKEN`.
+    /// Creates a client for the nodes in `options`, or the local node where there are none, with
+    /// the token of the token file or of `SYCAMORESHIFT_TOKEN`.
     ///
     /// # Errors
     /// [`CliError::BadInput`] where the token file can't be read.
@@ -84,7 +84,8 @@
     /// Sends a query to one node.
     ///
     /// # Errors
-    /// [`CliError`] of the node's response, or [`CliError::Failed`] where it doesn't respond in time.
+    /// [`CliError`] of the node's response, or [`CliError::Failed`] where it doesn't respond in
+    /// time.
     pub async fn query_node(
         &self,
         node: SocketAddr,
@@ -95,8 +96,8 @@
     }
 
     /// Sends a command to one node after another until one responds with a result or an error other
-    /// than [`CliError::Failed`]. The operation id in `body` lets the command take effect only once,
-    /// also where a node that failed had already run it.
+    /// than [`CliError::Failed`]. The operation id in `body` lets the command take effect only
+    /// once, also where a node that failed had already run it.
     ///
     /// # Errors
     /// [`CliError`] of that response, or of the last node where all failed.
@@ -179,14 +180,14 @@
     Ok((status, body.to_bytes()))
 }
 
-/// Error of a request without a whole response: the connection could not be opened or broke off, or
-/// the body exceeds [`MAX_RESPONSE_BYTES`].
+/// Error of a request without a complete response: the connection could not be opened or broke off,
+/// or the body exceeds [`MAX_RESPONSE_BYTES`].
 #[derive(Debug)]
 struct RequestError;
 
 impl std::fmt::Display for RequestError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the HTTP request got no whole response")
+        f.write_str("the HTTP request got no complete response")
     }
 }
 
--- a/crates/sycamore-node/src/calls/announce.rs
+++ b/crates/sycamore-node/src/calls/announce.rs
@@ -26,12 +26,12 @@
     if msg.read_prefix(inbound).await.is_err() || !msg.is_body_buffered() {
         return Err(std::io::ErrorKind::InvalidData.into());
     }
-    let heard = match state.edges.upstream.read(&msg.head, msg.prefix()) {
+    let order = match state.edges.upstream.read(&msg.head, msg.prefix()) {
         Ok(UpstreamMessage::Announce(announcement)) => record_announcement(state, announcement),
         Ok(UpstreamMessage::Leave(process)) => Ok(record_leave(state, &process)),
         Err(err) => Err(err),
     };
-    match heard {
+    match order {
         Ok(MessageOrder::Current | MessageOrder::Repeated) => {
             let in_flight = state.admission.borrow().load().running;
             respond(inbound, &state.edges.upstream.acknowledge(in_flight)).await
@@ -57,13 +57,13 @@
         return Err(format!("announcement names service {other}, expected {own}"));
     }
     let process = process_ref(&announcement.process);
-    let heard =
+    let order =
         state.announcements.borrow_mut().record_announcement(process, announcement.sequence);
-    if heard == MessageOrder::Current {
+    if order == MessageOrder::Current {
         state.metrics.count_announcement("taken");
         apply_announcement(state, announcement);
     }
-    Ok(heard)
+    Ok(order)
 }
 
 fn apply_announcement(state: &State, announcement: Announcement) {
@@ -100,12 +100,13 @@
 }
 
 fn record_leave(state: &State, process: &Process) -> MessageOrder {
-    let heard = state.announcements.borrow_mut().record_leave(process_ref(process));
-    if heard == MessageOrder::Current {
+    let order = state.announcements.borrow_mut().record_leave(process_ref(process));
+    if order == MessageOrder::Current {
         mark_draining(state);
-        info!(state.hub.log, "upstream draining"; "upstream" => process.name.as_deref().unwrap_or("-"));
+        info!(state.hub.log, "upstream draining";
+            "upstream" => process.name.as_deref().unwrap_or("-"));
     }
-    heard
+    order
 }
 
 fn process_ref(process: &Process) -> ProcessRef<'_> {
--- a/crates/sycamore-node/src/config/driver.rs
+++ b/crates/sycamore-node/src/config/driver.rs
@@ -146,13 +146,13 @@
         self.peer_miss.set(Some(head));
     }
 
-    /// Whether the latest recorded peer miss was for `head`.
+    /// Returns whether the latest recorded peer miss was for `head`.
     pub(super) fn has_peer_miss(&self, head: ConfigHead) -> bool {
         self.peer_miss.get() == Some(head)
     }
 
-    /// Version floor, the lowest version that this node may serve; `None` until it is known, and
-    /// the node serves nothing before.
+    /// Returns the version floor, the lowest version that this node may serve; `None` until it is
+    /// known, and the node serves nothing before then.
     pub(super) fn floor(&self) -> Option<ConfigVersion> {
         self.floor.borrow().known()
     }
@@ -191,7 +191,8 @@
 
     fn reject(&self, head: ConfigHead, reason: &RejectReason) {
         let reason = reason.to_string();
-        warn!(self.hub.log, "configuration rejected"; "version" => head.version.0, "reason" => &reason);
+        warn!(self.hub.log, "configuration rejected"; "version" => head.version.0,
+            "reason" => &reason);
         self.metrics.count_rejected();
         let mut rejected = self.rejected.borrow_mut();
         rejected.retain(|earlier| earlier.head != head);
--- a/crates/sycamore-node/src/moves/act.rs
+++ b/crates/sycamore-node/src/moves/act.rs
@@ -135,7 +135,7 @@
 async fn write_outcome_once(state: &State, key: &str, outcome: Outcome) {
     let Ok(Some(stored)) = state.platform.http().get(key).await else { return };
     let Ok(row) = serde_json::from_value::<MoveRow>(stored.value.clone()) else {
-        warn!(state.hub.log, "malformed move row"; "key" => key);
+        warn!(state.hub.log, "move row rejected"; "key" => key);
         return;
     };
     let change = Change {
--- a/crates/sycamore-node/src/moves/rows.rs
+++ b/crates/sycamore-node/src/moves/rows.rs
@@ -47,7 +47,7 @@
         let page = match state.platform.http().list(query).await {
             Ok(page) => page,
             Err(report) => {
-                debug!(state.hub.log, "rows of moves could not be read";
+                debug!(state.hub.log, "move rows could not be read";
                     "error" => %report.current_context());
                 return false;
             }
--- a/crates/sycamore-node/src/operator/serve.rs
+++ b/crates/sycamore-node/src/operator/serve.rs
@@ -76,7 +76,7 @@
             }
             Ok(_) => warn!(node.hub.log, "operator connection refused"; "limit" => MAX_CONNECTIONS),
             Err(error) => {
-                warn!(node.hub.log, "operator connection not accepted"; "error" => %error);
+                warn!(node.hub.log, "operator connection could not be accepted"; "error" => %error);
                 monoio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
--- a/crates/sycamore-settings/src/unit.rs
+++ b/crates/sycamore-settings/src/unit.rs
@@ -49,7 +49,10 @@
     fn deserialize_as<D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
         let text = deserialize_text(deserializer)?;
         parse_with_unit(text.trim(), &DURATION_UNITS).map(Duration::from_millis).ok_or_else(|| {
-            de::Error::custom(format!("{text:?} is not a duration; expected a whole number with a unit, such as 250ms, 3s, 2m or 1h"))
+            de::Error::custom(format!(
+                "{text:?} is not a duration; expected a whole number with a unit, such as 250ms, \
+                 3s, 2m or 1h"
+            ))
         })
     }
 }
@@ -65,7 +68,10 @@
     fn deserialize_as<D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
         let text = deserialize_text(deserializer)?;
         parse_with_unit(text.trim(), &SIZE_UNITS).ok_or_else(|| {
-            de::Error::custom(format!("{text:?} is not a size; expected a whole number with a unit, such as 512B, 64KB, 8MB or 1GB"))
+            de::Error::custom(format!(
+                "{text:?} is not a size; expected a whole number with a unit, such as 512B, 64KB, \
+                 8MB or 1GB"
+            ))
         })
     }
 }
--- a/crates/sycamore-types/src/id.rs
+++ b/crates/sycamore-types/src/id.rs
@@ -28,7 +28,8 @@
             }
             IdError::BadCharacter(c) => write!(
                 f,
-                "identifier contains {c:?}; only ASCII letters, digits, '-', '_', '.' and ':' are allowed"
+                "identifier contains {c:?}; only ASCII letters, digits, '-', '_', '.' and ':' are \
+                 allowed"
             ),
         }
     }
