--- a/crates/sycamore-call/src/admit/limit.rs
+++ b/crates/sycamore-call/src/admit/limit.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Sets the declared slots; a changed number resets the limit.
+    /// Sets the number of slots that the upstream announced; a change resets the limit to it.
     pub(super) fn announce(&mut self, slots: u16) {
         let slots = f64::from(slots);
         if slots != self.slots {
--- a/crates/sycamore-call/src/gate/mod.rs
+++ b/crates/sycamore-call/src/gate/mod.rs
@@ -14,7 +14,8 @@
     pub version: &'a UpstreamVersion,
     /// Traffic share that the caller's node applied.
     pub share: Share,
-    /// Number of 0 to 9,999, uniformly distributed over calls and equal for one call at every node.
+    /// Random number of 0 to 9,999 that decides by traffic share which version gets the call; the
+    /// same at every node that handles the call.
     pub draw: u16,
 }
 
--- a/crates/sycamore-call/src/key/owner.rs
+++ b/crates/sycamore-call/src/key/owner.rs
@@ -57,11 +57,12 @@
 /// Status of this node as the owner of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum OwnershipStatus {
-    /// This node owns the key and would know of an earlier run.
+    /// This node owns the key and would know if its call had run before.
     Owner,
-    /// This node owns the key once all of these members, which may have run it, have released it.
+    /// This node owns the key once all of these members, which may have run its call, have
+    /// released it.
     OwnerAfter(Vec<InstanceId>),
-    /// This node owns the key but may not know of an earlier run.
+    /// This node owns the key but may not know whether its call has run before.
     InDoubt,
     /// Another member owns the key.
     Other(InstanceId),
--- a/crates/sycamore-call/src/key/table.rs
+++ b/crates/sycamore-call/src/key/table.rs
@@ -160,7 +160,7 @@
         };
     }
 
-    /// Releases `key` to another node: within the memory the call is never run here again.
+    /// Releases `key` to another node: the call isn't run here again while the key is remembered.
     pub fn release(&mut self, now: Time, key: KeyHash) -> Released<A> {
         self.remove_expired(now);
         match self.entries.get(&key).map(|entry| &entry.record) {
--- a/crates/sycamore-call/src/key/unread.rs
+++ b/crates/sycamore-call/src/key/unread.rs
@@ -22,7 +22,7 @@
 }
 
 impl SuspensionTracker {
-    /// Creates the tracker of a process that started at `now`.
+    /// Creates the tracker of suspensions of a process that started at `now`.
     pub fn new(now: Time) -> Self {
         Self { last_tick: now, suspension: None }
     }
--- a/crates/sycamore-call/src/quarantine/mod.rs
+++ b/crates/sycamore-call/src/quarantine/mod.rs
@@ -2,8 +2,8 @@
 //! against is refused everywhere until the quarantine expires.
 //!
 //! A crash involves every request in flight on the instance, most of them harmless. So a request
-//! that completed here recently is not suspected, and a suspect never runs beside another suspect,
-//! so that a second crash identifies the culprit.
+//! that completed here recently is not suspected, and two suspects never run at the same time, so
+//! that a second crash identifies the culprit.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -32,7 +32,8 @@
 pub enum Verdict {
     /// No crash counts against the request.
     Clear,
-    /// The request was in flight at a crash; it may run, but not beside another suspect.
+    /// The request was in flight at a crash; it may run, but not at the same time as
+    /// another suspect.
     Suspect,
     /// The request crashes upstreams and is refused until this time.
     Quarantined(WallTime),
@@ -50,7 +51,7 @@
 }
 
 impl CrashLog {
-    /// Creates an empty log.
+    /// Creates a log without crashes.
     pub fn new(config: CrashLogConfig) -> Self {
         Self {
             config,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Returns the verdict on `request` at `now`.
+    /// Returns whether `request` is clear, suspect or quarantined at `now`.
     pub fn verdict(&self, now: WallTime, request: Fingerprint) -> Verdict {
         if let Some(until) = self.quarantined.get(&request).filter(|until| now < **until) {
             return Verdict::Quarantined(*until);
--- a/crates/sycamore-call/tests/decisions/model/key.rs
+++ b/crates/sycamore-call/tests/decisions/model/key.rs
@@ -85,7 +85,7 @@
 
 struct Keys {
     ownership: OwnershipConfig,
-    /// Memory of the records, in units.
+    /// Time for which a node remembers the record of a key, in units of the model's time.
     remembered: u8,
     /// Minimum time that must lie between two runs, in units.
     promised: u8,
--- a/crates/sycamore-cli/src/commands/file.rs
+++ b/crates/sycamore-cli/src/commands/file.rs
@@ -14,8 +14,8 @@
         .change_context_lazy(|| CliError::bad_input(format!("can't read {}", path.display())))
 }
 
-/// Reads the resources of a configuration from the JSON file at `path`; where `path` is a folder, from
-/// all of its JSON files in name order.
+/// Reads the resources of a configuration from the JSON file at `path`; where `path` is a folder,
+/// from all of its JSON files in name order.
 ///
 /// # Errors
 /// [`CliError::BadInput`] with every file that can't be read or holds no JSON list.
--- a/crates/sycamore-cli/src/commands/sheet.rs
+++ b/crates/sycamore-cli/src/commands/sheet.rs
@@ -11,8 +11,8 @@
 /// Checks the sheet locally, then sends it to a node.
 ///
 /// # Errors
-/// [`CliError::BadInput`] where the sheet has faults, [`CliError::Conflict`] where another change was
-/// first, [`CliError::Failed`] where no node answers or the platform doesn't.
+/// [`CliError::BadInput`] where the sheet has faults, [`CliError::Conflict`] where another change
+/// was first, [`CliError::Failed`] where no node answers or the platform doesn't.
 pub async fn run(
     client: &Client,
     import: &Import,
--- a/crates/sycamore-cli/src/queries/timeline.rs
+++ b/crates/sycamore-cli/src/queries/timeline.rs
@@ -20,8 +20,8 @@
 }
 
 /// Prints the events that pass the filters in `args`, and with `follow` those recorded later. The
-/// cursor skips events already printed by instance, incarnation and sequence number; the incarnation
-/// keeps it from skipping the events of a restarted node, whose numbers begin again.
+/// cursor skips events already printed by instance, incarnation and sequence number; the
+/// incarnation keeps it from skipping the events of a restarted node, whose numbers begin again.
 ///
 /// # Errors
 /// [`CliError`] where one of the nodes does not answer, or with `archive` the object store doesn't.
--- a/crates/sycamore-cli/src/queries/trace.rs
+++ b/crates/sycamore-cli/src/queries/trace.rs
@@ -17,8 +17,8 @@
 /// Prints the lines about the request in `trace` from all of its files, in order of time.
 ///
 /// # Errors
-/// [`CliError::BadInput`] where a file can't be read, [`CliError::NotFound`] where no line names the
-/// request.
+/// [`CliError::BadInput`] where a file can't be read, [`CliError::NotFound`] where no line names
+/// the request.
 pub fn run(trace: &Trace, output: &Output) -> Result<(), Report<CliError>> {
     let mut lines = Vec::new();
     for file in &trace.files {
@@ -62,8 +62,8 @@
     request.strip_prefix(id).is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
 }
 
-/// Returns the value of `key` in a log line of key=value pairs. It finds only values without spaces,
-/// as identifiers and times are.
+/// Returns the value of `key` in a log line of key=value pairs. It finds only values without
+/// spaces, as identifiers and times are.
 fn field_value<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let mut pairs = line.split_whitespace().filter_map(|pair| pair.split_once('='));
     pairs.find(|(name, _)| *name == key).map(|(_, value)| value.trim_matches('"'))
--- a/crates/sycamore-cli/tests/program.rs
+++ b/crates/sycamore-cli/tests/program.rs
@@ -1,5 +1,5 @@
-//! Tests of the program `sycamoreshift` as an operator runs it: help, file checks, log traces and exit
-//! codes.
+//! Tests of the program `sycamoreshift` as an operator runs it: help, file checks, log traces and
+//! exit codes.
 
 use std::process::{Command, Output};
 
@@ -69,8 +69,8 @@
     path.display().to_string()
 }
 
-/// Guards against a sheet check that stops at the first faulty line or names no lines: two lines are
-/// faulty.
+/// Guards against a sheet check that stops at the first faulty line or names no lines: two lines
+/// are faulty.
 #[test]
 fn every_faulty_sheet_line_is_reported() {
     let path = write_file(
@@ -106,8 +106,8 @@
     assert!(stderr.contains("gone"), "{stderr}");
 }
 
-/// Guards against checking the files of a folder one by one: a route in one file refers to a service
-/// in another.
+/// Guards against checking the files of a folder one by one: a route in one file refers to a
+/// service in another.
 #[test]
 fn configuration_may_be_a_folder_of_files() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("configuration");
--- a/crates/sycamore-config/src/apply/candidate.rs
+++ b/crates/sycamore-config/src/apply/candidate.rs
@@ -19,9 +19,9 @@
     pub(super) head: ConfigHead,
     pub(super) manifest: Option<Manifest>,
     pub(super) objects: ObjectMap,
-    /// Set while a fetch is pending.
+    /// Whether a fetch for this candidate is pending.
     pub(super) fetching: bool,
-    /// Earliest time of the next fetch.
+    /// Earliest time of the candidate's next fetch.
     pub(super) due: Time,
     /// Position in the cycle of peer and store attempts, which also determines the backoff.
     failures: u32,
@@ -66,7 +66,7 @@
     pub(super) fn record_failure(&mut self, settings: &ApplySettings, now: Time) {
         self.failures += 1;
         if self.failures > settings.max_failures {
-            // Goes back by one whole cycle, which keeps the order of peers and store.
+            // Going back by one whole cycle keeps the order in which peers and the store are tried.
             self.failures -= settings.peer_attempts + 1;
         }
         let seed = settings.seed ^ self.head.version.0;
--- a/crates/sycamore-config/src/diff.rs
+++ b/crates/sycamore-config/src/diff.rs
@@ -18,7 +18,7 @@
 }
 
 impl Diff {
-    /// Computes the difference from `old` to `new`.
+    /// Computes which resources differ between the manifests `old` and `new`.
     pub fn between(old: &Manifest, new: &Manifest) -> Self {
         let old_hashes: BTreeSet<ContentHash> = old.resources.iter().copied().collect();
         let new_hashes: BTreeSet<ContentHash> = new.resources.iter().copied().collect();
--- a/crates/sycamore-config/tests/floor_weighing.rs
+++ b/crates/sycamore-config/tests/floor_weighing.rs
@@ -7,7 +7,7 @@
 
 /// Number of nodes in the fleet that the system is designed for.
 const NODES: usize = 930;
-/// Replicas per column; the paper advises 3 to 5.
+/// Replicas per column of the column protocol; Jiang advises 3 to 5.
 const COLUMN_SIZE: i32 = 3;
 /// Configuration changes per day.
 const CHANGES_PER_DAY: f64 = 2_600.0;
--- a/crates/sycamore-http/src/conn/client.rs
+++ b/crates/sycamore-http/src/conn/client.rs
@@ -112,8 +112,8 @@
         Ok(resp)
     }
 
-    /// Takes an idle connection that the peer has not closed and on which no bytes arrived since the
-    /// last response, and drops the others.
+    /// Takes an idle connection that the peer has not closed and on which no bytes arrived since
+    /// the last response, and drops the others.
     fn take_idle(&self) -> Option<Pooled> {
         loop {
             let mut conn = self.idle.borrow_mut().pop()?;
--- a/crates/sycamore-http/src/conn/reader.rs
+++ b/crates/sycamore-http/src/conn/reader.rs
@@ -39,7 +39,8 @@
     /// Waits until at least one byte of the next message is in the buffer.
     ///
     /// # Errors
-    /// [`ReadError::Closed`] if the peer closed the connection, [`ReadError::Io`] if reading failed.
+    /// [`ReadError::Closed`] if the peer closed the connection, [`ReadError::Io`] if reading
+    /// failed.
     pub async fn wait_for_message(&mut self) -> Result<(), ReadError> {
         if self.buf.is_empty() && self.fill().await? == 0 {
             return Err(ReadError::Closed);
--- a/crates/sycamore-http/src/wire/framing.rs
+++ b/crates/sycamore-http/src/wire/framing.rs
@@ -31,7 +31,8 @@
 /// Returns the framing of the body of a response to a request with `method`.
 ///
 /// # Errors
-/// The errors of [`request_framing`], and [`HeadError::Upgrade`] if the response switches protocols.
+/// The errors of [`request_framing`], and [`HeadError::Upgrade`] if the response switches
+/// protocols.
 pub fn response_framing(head: &ResponseHead, method: &Method) -> Result<Framing, HeadError> {
     let framing = declared_framing(&head.headers, head.version)?;
     if head.status == StatusCode::SWITCHING_PROTOCOLS {
--- a/crates/sycamore-http/tests/wire/head.rs
+++ b/crates/sycamore-http/tests/wire/head.rs
@@ -101,8 +101,8 @@
     }
 }
 
-// Guards against a wrong end of a response's body, which depends on the status, the request's method
-// and the length, and against accepting a protocol switch.
+// Guards against a wrong end of a response's body, which depends on the status, the request's
+// method and the length, and against accepting a protocol switch.
 #[test]
 fn response_framing_depends_on_status_method_and_length() {
     let get = Method::GET;
--- a/crates/sycamore-member/src/detect/mod.rs
+++ b/crates/sycamore-member/src/detect/mod.rs
@@ -23,7 +23,7 @@
 pub(crate) struct Probe {
     pub(crate) target: InstanceId,
     pub(crate) sent: Time,
-    /// Set once other members were asked to probe the target.
+    /// Whether other members have been asked to probe the target.
     pub(crate) indirect: bool,
     /// Number of other members that reported the target as unreachable.
     pub(crate) nacks: u8,
--- a/crates/sycamore-member/src/machine/exchange.rs
+++ b/crates/sycamore-member/src/machine/exchange.rs
@@ -12,7 +12,8 @@
 const MAX_EXCHANGES: usize = 2;
 /// Time after which an exchange without a reported result counts as failed.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for which facts must differ before they are exchanged; pushed facts arrive sooner.
+/// Time for which the facts of two nodes must differ before they are exchanged; pushed facts arrive
+/// sooner.
 const MIN_FACT_MISMATCH: Duration = Duration::from_millis(100);
 /// Lower bound on the time between two fact exchanges. Each exchange without a new fact doubles it,
 /// up to the interval of table exchanges, because clock skew makes facts expire at different times,
@@ -31,7 +32,8 @@
 }
 
 impl FactExchange {
-    /// Returns the node to exchange facts with if an exchange is due, and resets the difference.
+    /// Returns the node to exchange facts with if a fact exchange is due, and forgets that its
+    /// facts differ.
     fn take_due(&mut self, now: Time) -> Option<InstanceId> {
         let (since, _) = self.mismatch.as_ref()?;
         if now < self.next || now.since(*since) < MIN_FACT_MISMATCH {
--- a/crates/sycamore-member/src/machine/mod.rs
+++ b/crates/sycamore-member/src/machine/mod.rs
@@ -67,7 +67,7 @@
     Exchanged {
         /// Instance that the exchange was with.
         peer: InstanceId,
-        /// Reply of that instance; `None` if the request failed.
+        /// Reply of the instance `peer`; `None` if the request failed.
         reply: Option<ExchangeReply>,
     },
 }
@@ -86,7 +86,7 @@
     Exchange {
         /// Instance to exchange tables with.
         peer: InstanceId,
-        /// Peer address of that instance.
+        /// Peer address of the instance `peer`.
         to: SocketAddr,
         /// Request to send.
         request: ExchangeRequest,
--- a/crates/sycamore-member/tests/model.rs
+++ b/crates/sycamore-member/tests/model.rs
@@ -35,7 +35,7 @@
 enum Scope {
     /// Crash and replacement of the subject.
     Replacement,
-    /// New version and drain of the subject.
+    /// Change of the subject's version, and its drain.
     Drain,
 }
 
--- a/crates/sycamore-moves/src/control/peers.rs
+++ b/crates/sycamore-moves/src/control/peers.rs
@@ -8,9 +8,9 @@
 /// Instance of a move's service, as membership or the platform's table lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// Instance name.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Generation under which membership knows the process.
+    /// Incarnation under which membership knows the process.
     pub incarnation: Incarnation,
     /// Version that its upstream announced.
     pub version: UpstreamVersion,
--- a/crates/sycamore-moves/src/evidence/collector.rs
+++ b/crates/sycamore-moves/src/evidence/collector.rs
@@ -125,7 +125,7 @@
         self.changed = true;
     }
 
-    /// Sets the generation under which membership knows the process; a lower one is ignored.
+    /// Sets the incarnation under which membership knows the process; a lower one is ignored.
     pub fn update_generation(&mut self, generation: Incarnation) {
         if generation > self.report.generation {
             self.report.generation = generation;
--- a/crates/sycamore-moves/src/evidence/ledger.rs
+++ b/crates/sycamore-moves/src/evidence/ledger.rs
@@ -9,7 +9,7 @@
 pub struct Source {
     /// Instance that the process runs as.
     pub instance: InstanceId,
-    /// Generation of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
 }
 
@@ -75,7 +75,7 @@
     }
 
     /// Returns the newest report of the process that membership knows as `member` or under a later
-    /// generation.
+    /// incarnation.
     pub fn report_of(&self, member: &Source) -> Option<&Report> {
         let of_member = self.reports.values().filter(|report| {
             report.instance == member.instance && report.generation >= member.incarnation
--- a/crates/sycamore-moves/src/evidence/mod.rs
+++ b/crates/sycamore-moves/src/evidence/mod.rs
@@ -25,10 +25,10 @@
     pub mv: MoveId,
     /// Instance that reports.
     pub instance: InstanceId,
-    /// Generation that the process started with; together with the instance it identifies the
+    /// Incarnation that the process started with; together with the instance it identifies the
     /// process.
     pub incarnation: Incarnation,
-    /// Generation under which membership knows the process at the time of the report; higher than
+    /// Incarnation under which membership knows the process at the time of the report; higher than
     /// `incarnation` if the process had to refute its death.
     pub generation: Incarnation,
     /// Sequence number of the report; grows with each report of the process.
--- a/crates/sycamore-moves/src/sheet/mod.rs
+++ b/crates/sycamore-moves/src/sheet/mod.rs
@@ -24,7 +24,7 @@
 /// Parses a sheet; a move that names no cap gets [`DEFAULT_CAP`].
 ///
 /// # Errors
-/// Same as for [`parse_with_cap`].
+/// The faults that [`parse_with_cap`] returns.
 pub fn parse(sheet: &[u8]) -> Result<Vec<MoveSpec>, Vec<Fault>> {
     parse_with_cap(sheet, DEFAULT_CAP)
 }
--- a/crates/sycamore-moves/tests/before.rs
+++ b/crates/sycamore-moves/tests/before.rs
@@ -8,7 +8,7 @@
     text.parse().unwrap()
 }
 
-/// Move of the service `counter` that starts at `start` ms.
+/// Returns a move of the service `counter` that starts at `start` ms.
 fn moved(from: &str, to: &str, start: u64) -> MoveSpec {
     MoveSpec {
         mv: format!("m{start}").parse().unwrap(),
@@ -23,7 +23,7 @@
     }
 }
 
-/// Old version selected for a move of `counter` to `to`.
+/// Returns the old version selected for a move of `counter` to `to`.
 fn before(to: &str, moves: &[(MoveSpec, Option<OutcomeKind>)], serving: &[&str]) -> Option<String> {
     let serving: Vec<UpstreamVersion> = serving.iter().map(|text| version(text)).collect();
     let moves = moves.iter().map(|(spec, outcome)| (spec, *outcome));
--- a/crates/sycamore-moves/tests/mergers.rs
+++ b/crates/sycamore-moves/tests/mergers.rs
@@ -10,7 +10,7 @@
 use sycamore_moves::ramp::{Schedule, Step};
 use sycamore_types::prelude::*;
 
-/// Row of a move with one step and the watch period, each held for a minute.
+/// Returns the row of a move with one step and the watch period, each held for a minute.
 fn row() -> MoveRow {
     let spec = spec("m");
     let step = |share, start_s| Step {
@@ -49,7 +49,8 @@
     seq: u64,
 }
 
-/// Time `ms` milliseconds after the move's start; the monotonic clock has an origin of its own.
+/// Returns the time `ms` milliseconds after the move's start; the monotonic clock has an origin of
+/// its own.
 fn at(ms: u64) -> Moment {
     let wall = row().spec.start + Duration::from_millis(ms);
     Moment { time: Time::from_millis(1_000_000 + ms), wall }
--- a/crates/sycamore-moves/tests/model.rs
+++ b/crates/sycamore-moves/tests/model.rs
@@ -148,17 +148,17 @@
     }
 }
 
-/// Name of the instance with this index, for traces.
+/// Returns the name of the instance with this index, for traces.
 fn sender(index: usize) -> &'static str {
     NAMES.get(index).copied().unwrap_or("the old version")
 }
 
-/// Time at which everything in the model happens.
+/// Returns the time at which everything in the model happens.
 fn at() -> Moment {
     Moment { time: Time::from_secs(100), wall: now() + Duration::from_secs(100) }
 }
 
-/// Row of a move with two steps and no hold times.
+/// Returns the row of a move with two steps and no hold times.
 fn row() -> MoveRow {
     let spec = spec("m");
     let step = |share, margin| Step {
@@ -181,7 +181,7 @@
     }
 }
 
-/// Membership entry of the instance with this index.
+/// Returns the membership entry of the instance with this index.
 fn peer(index: usize, incarnation: u64) -> Peer {
     Peer {
         instance: id(sender(index).split(' ').next().expect("a name")),
--- a/crates/sycamore-moves/tests/plan.rs
+++ b/crates/sycamore-moves/tests/plan.rs
@@ -13,7 +13,7 @@
     PlanId::new("morning").expect("valid")
 }
 
-/// Table after a first import of `specs`.
+/// Returns the table after a first import of `specs`.
 fn stored_after(specs: &[sycamore_moves::plan::MoveSpec]) -> Stored {
     let imported = import(&plan(), specs, &Stored::default(), &change("ana", 1)).expect("imports");
     let plan = imported.plan.expect("there is something to write");
--- a/crates/sycamore-moves/tests/scenarios.rs
+++ b/crates/sycamore-moves/tests/scenarios.rs
@@ -25,18 +25,18 @@
     "ok\n".to_owned()
 }
 
-/// The directive's argument that has no value.
+/// Returns the directive's argument that has no value.
 fn argument(case: &TestCase) -> String {
     let argument = case.args.iter().find(|(_, values)| values.is_empty());
     argument.expect("an argument without value").0.clone()
 }
 
-/// Values of the argument `key`; empty if it is absent.
+/// Returns the values of the argument `key`; empty if it is absent.
 fn values(case: &TestCase, key: &str) -> Vec<String> {
     case.args.get(key).cloned().unwrap_or_default()
 }
 
-/// Value of the argument `key` as a number.
+/// Returns the value of the argument `key` as a number.
 fn number(case: &TestCase, key: &str) -> u64 {
     values(case, key).first().expect("a number").parse().expect("a number")
 }
--- a/crates/sycamore-moves/tests/sheet.rs
+++ b/crates/sycamore-moves/tests/sheet.rs
@@ -8,7 +8,7 @@
 
 const HEADER: &str = "move,service,from,to,start,deadline,cap,watch,on_timeout\n";
 
-/// Texts of the faults of `sheet`.
+/// Returns the texts of the faults of `sheet`.
 fn texts(sheet: &str) -> Vec<String> {
     let faults = parse(sheet.as_bytes()).expect_err("the sheet has faults");
     faults.iter().map(ToString::to_string).collect()
--- a/crates/sycamore-moves/tests/support/mod.rs
+++ b/crates/sycamore-moves/tests/support/mod.rs
@@ -8,7 +8,7 @@
 };
 use sycamore_types::prelude::*;
 
-/// Time at which the fixtures' moves are written.
+/// Returns the time at which the fixtures' moves are written.
 pub fn now() -> WallTime {
     WallTime(1_796_000_000_000)
 }
@@ -18,7 +18,8 @@
     text.parse().ok().expect("valid identifier")
 }
 
-/// Move of a service of its own that starts a minute after [`now`] and has a window of ten minutes.
+/// Returns a move of a service of its own that starts a minute after [`now`] and has a window of
+/// ten minutes.
 pub fn spec(name: &str) -> MoveSpec {
     MoveSpec {
         mv: id(name),
@@ -33,19 +34,19 @@
     }
 }
 
-/// Change that `operator` makes at [`now`] under the operation id `op`.
+/// Returns a change that `operator` makes at [`now`] under the operation id `op`.
 pub fn change(operator: &str, op: u128) -> Change {
     Change { author: Author::Operator(id(operator)), op: OpId(op), at: now() }
 }
 
-/// Outcome decided at [`now`], with the usual cause of its kind.
+/// Returns an outcome decided at [`now`], with the usual cause of its kind.
 pub fn outcome(kind: OutcomeKind) -> Outcome {
     let cause = if kind == OutcomeKind::Done { Cause::Proven } else { Cause::Bad };
     let reason = "as the evidence says".to_owned();
     Outcome { kind, cause, reason, at: now(), share: Share::ALL, evidence: Summary::default() }
 }
 
-/// Report of a process with `ok` and `failed` calls on one route.
+/// Returns a report of a process with `ok` and `failed` calls on one route.
 pub fn report(mv: &str, instance: &str, version: &str, seq: u64, ok: u64, failed: u64) -> Report {
     let mut counts = Counts { ok, failed, ..Counts::default() };
     counts.latency.add(20, u32::try_from(ok).expect("small"));
--- a/crates/sycamore-moves/tests/town/mod.rs
+++ b/crates/sycamore-moves/tests/town/mod.rs
@@ -131,7 +131,7 @@
         self.update_membership();
     }
 
-    /// Resumes a paused node, which refutes its death with a new generation.
+    /// Resumes a paused node, which refutes its death with a new incarnation.
     pub fn resume(&mut self, name: &str) {
         let node = self.nodes.get_mut(name).expect("a node");
         node.paused = false;
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Share of the new version that `name` applies, in basis points.
+    /// Returns the share of the new version that `name` applies, in basis points.
     fn share(&self, name: &str) -> u64 {
         let share = self.nodes[name].control.split(self.at().wall).to;
         u64::from(share.basis_points())
@@ -379,7 +379,7 @@
     (name.to_owned(), node)
 }
 
-/// Log text of a raised fact.
+/// Returns the log text of a raised fact.
 fn raised(fact: &Fact) -> String {
     match fact {
         Fact::Cleared { step, .. } => format!("clears step {step}"),
--- a/crates/sycamore-node/src/calls/meta.rs
+++ b/crates/sycamore-node/src/calls/meta.rs
@@ -16,7 +16,7 @@
     /// Level of the call in the chain: raised by 1 when a node receives the call from a caller or
     /// an upstream, and thus 1 for a caller's call.
     pub(super) level: u8,
-    /// Whether an attempt of a call in the chain, or of this one, was a retry.
+    /// Whether an attempt of this call, or of a call above it in the chain, was a retry.
     pub(super) is_retry: bool,
 }
 
--- a/crates/sycamore-node/src/config/follow.rs
+++ b/crates/sycamore-node/src/config/follow.rs
@@ -54,8 +54,8 @@
     }
 }
 
-/// Whether this node watches operators' rows. In a small fleet every node does, in a larger one
-/// those with the lowest hashes of their instance names; a node without a version floor always
+/// Returns whether this node watches operators' rows. In a small fleet every node does, in a larger
+/// one those with the lowest hashes of their instance names; a node without a version floor always
 /// does.
 fn is_watcher(driver: &Driver) -> bool {
     let watchers = driver.hub.settings.config.watchers as usize;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Highest configuration version that this node has raised or learnt from peers.
+    /// Returns the highest configuration version that this node has raised or learnt from peers.
     fn highest_spread_version(&self) -> Option<ConfigVersion> {
         match self.driver.hub.facts.known().get(&FactKey::Head) {
             Some(Fact::Head(head)) => Some(head.version),
--- a/crates/sycamore-node/src/hub/clock.rs
+++ b/crates/sycamore-node/src/hub/clock.rs
@@ -16,17 +16,17 @@
         Self::ahead_by(Duration::ZERO)
     }
 
-    /// Creates a clock whose wall time runs `ahead` of the system's, for tests of clock skew.
+    /// Creates a clock whose wall-clock time runs `ahead` of the system's, for tests of clock skew.
     pub fn ahead_by(ahead: Duration) -> Self {
         Self { started: Instant::now(), ahead }
     }
 
-    /// Monotonic time since the clock was created, in microseconds.
+    /// Returns the monotonic time since the clock was created, in microseconds.
     pub fn now(&self) -> Time {
         Time(u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Wall time since the Unix epoch, in milliseconds.
+    /// Returns the wall-clock time since the Unix epoch, in milliseconds.
     pub fn wall(&self) -> WallTime {
         let since_epoch =
             SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() + self.ahead;
--- a/crates/sycamore-node/src/hub/dependency.rs
+++ b/crates/sycamore-node/src/hub/dependency.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Length of the outage of `dependency` at `now`; `None` while it is not lost.
+    /// Returns the length of the outage of `dependency` at `now`; `None` while it is not lost.
     pub fn lost_for(&self, now: Time, dependency: Dependency) -> Option<Duration> {
         self.lost_since(dependency).get().map(|since| now.since(since))
     }
--- a/crates/sycamore-node/src/hub/facts.rs
+++ b/crates/sycamore-node/src/hub/facts.rs
@@ -30,7 +30,7 @@
 }
 
 impl Facts {
-    /// Snapshot of the facts known now.
+    /// Returns a snapshot of the facts known now.
     pub fn known(&self) -> Arc<BTreeMap<FactKey, Fact>> {
         self.known.borrow().clone()
     }
@@ -63,8 +63,8 @@
         new
     }
 
-    /// Peer from which `head` was learnt first, which is closer to where it was committed. `None`
-    /// unless `head` is the latest head learnt from a peer.
+    /// Returns the peer from which `head` was learnt first, which is closer to where it was
+    /// committed. `None` unless `head` is the latest head learnt from a peer.
     pub fn head_source(&self, head: &ConfigHead) -> Option<SocketAddr> {
         self.head_source.get().filter(|(learnt, _)| learnt == head).map(|(_, source)| source)
     }
--- a/crates/sycamore-node/src/hub/log.rs
+++ b/crates/sycamore-node/src/hub/log.rs
@@ -13,8 +13,8 @@
 use sycamore_settings::operator::LogLevel;
 use sycamore_settings::Settings;
 
-/// Creates a logger that writes to `out` and adds the instance and the wall time to each line, and
-/// the counter of lines dropped because its queue was full.
+/// Creates a logger that writes to `out` and adds the instance and the wall-clock time to each
+/// line, and the counter of lines dropped because its queue was full.
 pub fn logger(settings: &Settings, out: impl Write + Send + 'static) -> (Logger, IntCounter) {
     let level = match settings.log.level {
         LogLevel::Error => Level::Error,
--- a/crates/sycamore-node/src/hub/mod.rs
+++ b/crates/sycamore-node/src/hub/mod.rs
@@ -68,7 +68,7 @@
 pub struct Hub {
     /// Settings the node was started with.
     pub settings: Settings,
-    /// Incarnation of this process: the wall time of its start, in milliseconds.
+    /// Incarnation of this process: the wall-clock time of its start, in milliseconds.
     pub incarnation: Incarnation,
     /// Monotonic and wall clock.
     pub clock: Clock,
@@ -139,7 +139,7 @@
         })
     }
 
-    /// Current lifecycle phase.
+    /// Returns the current lifecycle phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
@@ -189,7 +189,7 @@
         self.timeline.borrow_mut().observe(stamp, self.clock.wall());
     }
 
-    /// Timeline of this process.
+    /// Returns the timeline of this process.
     pub fn timeline(&self) -> &RefCell<Recorder> {
         &self.timeline
     }
@@ -216,7 +216,7 @@
         self.outcomes_rx.borrow_mut().take()
     }
 
-    /// Call outcomes dropped since the start because the queue was full.
+    /// Returns the number of call outcomes dropped since the start because the queue was full.
     pub fn outcomes_lost(&self) -> u64 {
         self.outcomes_lost.get()
     }
@@ -227,7 +227,7 @@
         InFlight(self.clone())
     }
 
-    /// Number of calls in flight on this node.
+    /// Returns the number of calls in flight on this node.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
--- a/crates/sycamore-node/src/moves/evidence.rs
+++ b/crates/sycamore-node/src/moves/evidence.rs
@@ -53,9 +53,9 @@
     }
 }
 
-/// Collector of the move `entry`, created at the first use from [`BASELINE_TIME`] before the move's
-/// start on. `None` if there is none yet and the move is not due, has ended, or is about another
-/// service or other versions than the local upstream's.
+/// Returns the collector of the move `entry`. It is created at the first use that is at most
+/// [`BASELINE_TIME`] before the move's start; `None` before that, and if the move had ended by then
+/// or is about another service or other versions than the local upstream's.
 fn collector<'a>(state: &State, entry: &'a mut Entry) -> Option<&'a mut Collector> {
     let (row, _) = entry.control.row();
     let spec = &row.spec;
@@ -96,7 +96,7 @@
     own.into_iter().for_each(|report| merge(state, report));
 }
 
-/// Report of a move to send now: the new one, or the unchanged one as a heartbeat.
+/// Returns the report of a move to send now: the new one, or the unchanged one as a heartbeat.
 fn due_report(state: &State, entry: &mut Entry) -> Option<Report> {
     let now = state.now().time;
     let confirmed = entry.control.confirmed();
--- a/crates/sycamore-node/src/moves/orders.rs
+++ b/crates/sycamore-node/src/moves/orders.rs
@@ -64,7 +64,8 @@
     }
 }
 
-/// Identifier of the move for an order whose row has `revision`; a rewritten order is a new move.
+/// Returns the identifier of the move for an order whose row has `revision`; a rewritten order is a
+/// new move.
 fn move_id(order: &ReleaseOrder, revision: u64) -> Option<MoveId> {
     MoveId::new(format!("{}.{}.{revision}", order.service, order.to)).ok()
 }
@@ -97,7 +98,8 @@
     }
 }
 
-/// Rank of this node among the known members for the move `mv` by rendezvous hashing; 0 is first.
+/// Returns the rank of this node among the known members for the move `mv` by rendezvous hashing; 0
+/// is first.
 fn own_rank(state: &State, mv: &MoveId) -> usize {
     let view = state.hub.members.borrow().clone();
     let own = &state.hub.settings.node.instance;
@@ -106,8 +108,8 @@
     view.members.keys().filter(|instance| *instance != own && score(instance) > own_score).count()
 }
 
-/// Status of an order whose move is `entry`. It becomes done [`OLD_VERSION_DRAIN`] after the move
-/// was seen as done, or at the move's deadline if that is earlier.
+/// Returns the status of an order whose move is `entry`. It becomes done [`OLD_VERSION_DRAIN`]
+/// after the move was seen as done, or at the move's deadline if that is earlier.
 fn status(entry: &Entry, state: &State, now: Time, progress: &mut Progress) -> ReleaseState {
     let (row, _) = entry.control.row();
     match &row.outcome {
@@ -165,8 +167,8 @@
     }
 }
 
-/// Version that the order's move starts from, derived from the known moves and members; `None` if
-/// it can't be determined.
+/// Returns the version that the order's move starts from, derived from the known moves and members;
+/// `None` if it can't be determined.
 fn from_version(state: &State, order: &ReleaseOrder) -> Option<UpstreamVersion> {
     let view = state.hub.members.borrow().clone();
     let moves = state.moves.borrow();
--- a/crates/sycamore-node/src/moves/queries.rs
+++ b/crates/sycamore-node/src/moves/queries.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// State of a plan by the moves in memory; moves that were forgotten count as open.
+/// Returns the state of a plan by the moves in memory; moves that were forgotten count as open.
 fn plan_state(state: &State, plan: &PlanRow) -> &'static str {
     let moves = state.moves.borrow();
     let ended = plan
--- a/crates/sycamore-node/src/moves/shares.rs
+++ b/crates/sycamore-node/src/moves/shares.rs
@@ -39,16 +39,16 @@
     ShareTable { services }
 }
 
-/// Precedence among the moves of one service; the highest determines the shares. A move that has
-/// begun precedes one that has not; among begun moves the latest start wins, among others the
-/// earliest.
+/// Returns the precedence of a move among the moves of one service; the highest determines the
+/// shares. A move that has begun precedes one that has not; among begun moves the latest start
+/// wins, among others the earliest.
 fn precedence(entry: &Entry, wall: WallTime) -> (bool, u64) {
     let start = entry.control.row().0.spec.start;
     let begun = start <= wall;
     (begun, if begun { start.0 } else { u64::MAX - start.0 })
 }
 
-/// Shares of a move's old and new version at `wall`.
+/// Returns the shares of a move's old and new version at `wall`.
 fn shares_of(entry: &Entry, wall: WallTime) -> Vec<VersionShare> {
     let (row, _) = entry.control.row();
     let spec = &row.spec;
@@ -61,8 +61,9 @@
     ]
 }
 
-/// Version that receives all calls of a service without a move, for services whose members run
-/// several versions: the one that most members run, among equals the one with the oldest member.
+/// Returns the version that receives all calls of a service without a move, for services whose
+/// members run several versions: the one that most members run, among equals the one with the
+/// oldest member.
 fn default_versions(state: &State) -> BTreeMap<ServiceName, UpstreamVersion> {
     let view = state.hub.members.borrow().clone();
     let names: BTreeSet<&ServiceName> =
--- a/crates/sycamore-node/src/moves/state.rs
+++ b/crates/sycamore-node/src/moves/state.rs
@@ -64,17 +64,17 @@
         }
     }
 
-    /// Current monotonic and wall time.
+    /// Returns the current monotonic and wall-clock time.
     pub fn now(&self) -> Moment {
         Moment { time: self.hub.clock.now(), wall: self.hub.clock.wall() }
     }
 
-    /// Whether `service` is the service of the local upstream.
+    /// Returns whether `service` is the service of the local upstream.
     pub fn is_own(&self, service: &ServiceName) -> bool {
         self.hub.settings.node.service == *service
     }
 
-    /// Serving instances of this node's service, and the regions of all known members.
+    /// Returns the serving instances of this node's service, and the regions of all known members.
     pub fn service_peers(&self) -> (Vec<Peer>, BTreeSet<Region>) {
         let view = self.hub.members.borrow().clone();
         let peer = |member: &Member| Peer {
@@ -88,7 +88,7 @@
         (live, regions)
     }
 
-    /// This node's own member record; `None` until it is in the membership view.
+    /// Returns this node's own member record; `None` until it is in the membership view.
     pub fn me(&self) -> Option<Member> {
         self.hub.members.borrow().members.get(&self.hub.settings.node.instance).cloned()
     }
--- a/crates/sycamore-node/src/operator/error.rs
+++ b/crates/sycamore-node/src/operator/error.rs
@@ -45,7 +45,7 @@
         Self::BadInput { error: error.to_string(), faults: Vec::new() }
     }
 
-    /// HTTP status of the error response.
+    /// Returns the HTTP status of the error response.
     pub fn status(&self) -> StatusCode {
         match self {
             OperatorError::BadInput { .. } => StatusCode::BAD_REQUEST,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// JSON body of the error response.
+    /// Returns the JSON body of the error response.
     pub fn body(&self) -> Vec<u8> {
         let (faults, winner) = match self {
             OperatorError::BadInput { faults, .. } => (faults.as_slice(), None),
--- a/crates/sycamore-node/src/peers/driver.rs
+++ b/crates/sycamore-node/src/peers/driver.rs
@@ -110,12 +110,12 @@
         }
     }
 
-    /// This node's own member record.
+    /// Returns this node's own member record.
     pub(super) fn me(&self) -> Member {
         self.machine.borrow().me().clone()
     }
 
-    /// Whether this node has compared its membership table with a peer's since it started.
+    /// Returns whether this node has compared its membership table with a peer's since it started.
     pub(super) fn is_synced(&self) -> bool {
         self.machine.borrow().is_synced()
     }
@@ -125,7 +125,7 @@
         read(&self.machine.borrow())
     }
 
-    /// Current monotonic and wall time.
+    /// Returns the current monotonic and wall-clock time.
     pub(super) fn now(&self) -> Now {
         Now { mono: self.hub.clock.now(), wall: self.hub.clock.wall() }
     }
@@ -234,7 +234,7 @@
     Membership::new(me, options, rand::random(), now)
 }
 
-/// State of this node's member record, derived from its phase and its upstream.
+/// Returns the state of this node's member record, derived from its phase and its upstream.
 fn local_state(hub: &Hub) -> LocalState {
     let upstream = hub.upstream.borrow();
     match (hub.phase(), &*upstream) {
--- a/crates/sycamore-node/src/peers/listener.rs
+++ b/crates/sycamore-node/src/peers/listener.rs
@@ -43,7 +43,7 @@
     });
 }
 
-/// Highest configuration head that this node has seen; `None` if it has seen none.
+/// Returns the highest configuration head that this node has seen; `None` if it has seen none.
 fn highest_head(hub: &Hub) -> Option<ConfigHead> {
     match hub.facts.known().get(&FactKey::Head) {
         Some(Fact::Head(head)) => Some(*head),
--- a/crates/sycamore-node/src/peers/mod.rs
+++ b/crates/sycamore-node/src/peers/mod.rs
@@ -56,13 +56,13 @@
 }
 
 impl Peers {
-    /// Client for requests to other nodes, which are addressed by the `peer` endpoint of their
-    /// member.
+    /// Returns the client for requests to other nodes, which are addressed by the `peer` endpoint
+    /// of their member.
     pub fn calls(&self) -> &sycamore_peer::Peers {
         &self.calls
     }
 
-    /// Whether this node has compared its membership table with a peer's since it started.
+    /// Returns whether this node has compared its membership table with a peer's since it started.
     pub fn is_synced(&self) -> bool {
         self.driver.is_synced()
     }
--- a/crates/sycamore-node/src/peers/register.rs
+++ b/crates/sycamore-node/src/peers/register.rs
@@ -46,7 +46,7 @@
     });
 }
 
-/// Key of an instance's row.
+/// Returns the key of an instance's row.
 pub(super) fn member_key(instance: &InstanceId) -> String {
     format!("{MEMBER_PREFIX}{instance}")
 }
@@ -147,7 +147,7 @@
     members.members.keys().nth(index).cloned()
 }
 
-/// Time until this node's next refresh: its part of the fleet's budget, with jitter.
+/// Returns the time until this node's next refresh: its part of the fleet's budget, with jitter.
 fn refresh_interval(driver: &Driver) -> Duration {
     let nodes = driver.hub.members.borrow().members.len() as f64;
     let interval = Duration::from_secs_f64(nodes / FLEET_REFRESHES_PER_S).max(MIN_REFRESH_INTERVAL);
--- a/crates/sycamore-node/src/platform/mod.rs
+++ b/crates/sycamore-node/src/platform/mod.rs
@@ -35,7 +35,7 @@
         Ok(Self { http: HttpPlatform::with_protocol(http, protocol).with_observer(observer) })
     }
 
-    /// HTTP client of the table and the object store.
+    /// Returns the HTTP client of the table and the object store.
     pub fn http(&self) -> &HttpPlatform {
         &self.http
     }
--- a/crates/sycamore-node/src/tasks/mod.rs
+++ b/crates/sycamore-node/src/tasks/mod.rs
@@ -34,7 +34,7 @@
         let _ = self.0.wait_for(|stop| *stop).await;
     }
 
-    /// Whether the group has been told to stop.
+    /// Returns whether the group has been told to stop.
     pub fn is_stopped(&self) -> bool {
         *self.0.borrow()
     }
@@ -82,7 +82,7 @@
         });
     }
 
-    /// Number of tasks that have not ended.
+    /// Returns the number of tasks that have not ended.
     pub fn live(&self) -> usize {
         self.live.count.get()
     }
--- a/crates/sycamore-node/src/timeline/archive.rs
+++ b/crates/sycamore-node/src/timeline/archive.rs
@@ -12,7 +12,7 @@
 const MAX_BATCHES: usize = 256;
 
 /// Reads the archived events, of `instance` only if it is given, merged into one order. If there
-/// are more than `MAX_BATCHES` batches, those with the latest generation and number are read.
+/// are more than `MAX_BATCHES` batches, those with the latest incarnation and number are read.
 ///
 /// # Errors
 /// [`OperatorError::Unavailable`] if the object store does not answer.
@@ -35,7 +35,7 @@
     Ok(merge(events))
 }
 
-/// Part of a batch's key that sorts by age: generation and number of the first event.
+/// Returns the part of a batch's key that sorts by age: incarnation and number of the first event.
 fn age_key(key: &str) -> &str {
     key.strip_prefix(EVENTS_PREFIX)
         .and_then(|rest| rest.split_once('/'))
--- a/crates/sycamore-node/src/timeline/recorder.rs
+++ b/crates/sycamore-node/src/timeline/recorder.rs
@@ -26,14 +26,14 @@
         }
     }
 
-    /// Records an event that happened at wall time `now`.
+    /// Records an event that happened at wall-clock time `now`.
     pub fn record(&mut self, kind: EventKind, now: WallTime) {
         let event = self.ring.record(kind, now);
         self.batcher.push(event);
     }
 
-    /// Advances the hybrid logical clock and returns the stamp of a message sent at wall time
-    /// `now`.
+    /// Advances the hybrid logical clock and returns the stamp of a message sent at wall-clock
+    /// time `now`.
     pub fn stamp(&mut self, now: WallTime) -> Stamp {
         self.ring.stamp(now)
     }
@@ -44,12 +44,12 @@
         self.ring.observe(stamp, now);
     }
 
-    /// Events in memory whose number is above `after`.
+    /// Returns the events in memory whose number is above `after`.
     pub fn after(&self, after: u64) -> Vec<Event> {
         self.ring.after(after).events
     }
 
-    /// Batch to write at `now` in a fleet of `nodes`; `None` if none is due.
+    /// Returns the batch to write at `now` in a fleet of `nodes`; `None` if none is due.
     pub fn due(&mut self, now: Time, nodes: usize) -> Option<Batch> {
         self.batcher.due(now, nodes)
     }
@@ -59,7 +59,7 @@
         self.batcher.record_stored(key);
     }
 
-    /// Batch to write next at shutdown; `None` if all events are stored.
+    /// Returns the batch to write next at shutdown; `None` if all events are stored.
     pub fn flush(&mut self) -> Option<Batch> {
         self.batcher.flush()
     }
--- a/crates/sycamore-node/tests/calls/key.rs
+++ b/crates/sycamore-node/tests/calls/key.rs
@@ -10,7 +10,8 @@
     post(path).header(headers::IDEMPOTENCY_KEY, key)
 }
 
-/// Options with short key memory and view lag, so that nodes soon know all earlier runs of a key.
+/// Returns options with short key memory and view lag, so that nodes soon know all earlier runs of
+/// a key.
 fn options() -> Options {
     let calls = CallSettings {
         key_memory: Duration::from_millis(300),
@@ -45,7 +46,7 @@
 }
 
 /// A repeat that arrives while the first call still runs must be refused as `in-progress`, and not
-/// run beside it.
+/// run at the same time.
 #[test]
 fn a_repeat_during_the_run_is_refused_as_in_progress() {
     run(async {
--- a/crates/sycamore-node/tests/tasks.rs
+++ b/crates/sycamore-node/tests/tasks.rs
@@ -72,7 +72,7 @@
     block_on(async { TaskGroup::default().join().await });
 }
 
-/// Source files under `folder` that contain `text`.
+/// Returns the source files under `folder` that contain `text`.
 fn sources_with(folder: &Path, text: &str) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir(folder).expect("a folder") {
--- a/crates/sycamore-peer-gen/src/main.rs
+++ b/crates/sycamore-peer-gen/src/main.rs
@@ -1,5 +1,5 @@
-//! Development tool that regenerates the code in `sycamore-peer/src/proto`: run it after every change
-//! of the proto file, as `cargo run -p sycamore-peer-gen`.
+//! Development tool that regenerates the code in `sycamore-peer/src/proto`: run it after every
+//! change of the proto file, as `cargo run -p sycamore-peer-gen`.
 
 use std::error::Error;
 use std::path::Path;
--- a/crates/sycamore-peer/src/client/mod.rs
+++ b/crates/sycamore-peer/src/client/mod.rs
@@ -99,8 +99,8 @@
     /// against its hash.
     ///
     /// # Errors
-    /// [`Error`] where the peer can't be reached or refuses; [`Error::Malformed`] where `hashes` has
-    /// more than [`MAX_FETCH_HASHES`] entries, or a returned object doesn't match its hash.
+    /// [`Error`] where the peer can't be reached or refuses; [`Error::Malformed`] where `hashes`
+    /// has more than [`MAX_FETCH_HASHES`] entries, or a returned object doesn't match its hash.
     pub async fn fetch(
         &self,
         to: SocketAddr,
--- a/crates/sycamore-peer/src/codec/packet.rs
+++ b/crates/sycamore-peer/src/codec/packet.rs
@@ -38,8 +38,8 @@
     Ok(buf)
 }
 
-/// Decodes a datagram of the deployment with `tag` to a packet and the sender's clock reading, which
-/// is zero where the datagram has none.
+/// Decodes a datagram of the deployment with `tag` to a packet and the sender's clock reading,
+/// which is zero where the datagram has none.
 ///
 /// # Errors
 /// [`Error::Deployment`] where the datagram belongs to another deployment, [`Error::Malformed`]
--- a/crates/sycamore-peer/src/datagram.rs
+++ b/crates/sycamore-peer/src/datagram.rs
@@ -81,7 +81,8 @@
             buf = back;
             let (len, from) = match received {
                 Ok(received) => received,
-                // An earlier datagram of this socket reached a closed port; the socket remains usable.
+                // An earlier datagram of this socket reached a closed port; the socket remains
+                // usable.
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => continue,
                 Err(e) => return Err(e).change_context(Error::Socket),
             };
--- a/crates/sycamore-peer/src/server/service.rs
+++ b/crates/sycamore-peer/src/server/service.rs
@@ -1,4 +1,5 @@
-//! Handlers of the generated gRPC service: check a call, queue it for the node, wait for the answer.
+//! Handlers of the generated gRPC service: check a call, queue it for the node, wait for the
+//! answer.
 
 use super::FROM_HEADER;
 use crate::codec;
@@ -126,7 +127,8 @@
     /// Queues a call and waits for its answer.
     ///
     /// # Errors
-    /// Resource exhausted where the queue is full, unavailable where the call is dropped unanswered.
+    /// Resource exhausted where the queue is full, unavailable where the call is dropped
+    /// unanswered.
     async fn call(&self, from: InstanceId, body: Q) -> Result<A, Status> {
         let (tx, rx) = oneshot::channel();
         self.enqueue(Call { from, body, tx })?;
--- a/crates/sycamore-peer/tests/codec.rs
+++ b/crates/sycamore-peer/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Tests of the codec: messages survive encoding and decoding unchanged, and malformed, oversized or
-//! foreign input is an error.
+//! Tests of the codec: messages survive encoding and decoding unchanged, and malformed, oversized
+//! or foreign input is an error.
 #![allow(clippy::unwrap_used)]
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
@@ -144,8 +144,8 @@
         decode_packet(&buf, tag()).unwrap() == (packet.0, at)
     }
 
-    /// Guards against a field that one direction of the conversion leaves out: every kind of item is
-    /// converted to its message and back.
+    /// Guards against a field that one direction of the conversion leaves out: every kind of item
+    /// is converted to its message and back.
     fn items_survive_conversion(item: ArbitraryItem) -> bool {
         item_from_wire(item_to_wire(&item.0)).unwrap() == item.0
     }
--- a/crates/sycamore-peer/tests/transport.rs
+++ b/crates/sycamore-peer/tests/transport.rs
@@ -94,8 +94,8 @@
     });
 }
 
-/// Guards against a kind of call whose request or reply is lost between client and inbox, and against
-/// a connection for each call.
+/// Guards against a kind of call whose request or reply is lost between client and inbox, and
+/// against a connection for each call.
 #[test]
 fn each_kind_of_call_is_answered_over_one_connection() {
     block_on(async {
@@ -134,8 +134,8 @@
     });
 }
 
-/// Guards against fetches of unbounded size: three objects of half the byte bound each, and a request
-/// one hash over its bound.
+/// Guards against fetches of unbounded size: three objects of half the byte bound each, and a
+/// request one hash over its bound.
 #[test]
 fn fetches_are_bounded() {
     block_on(async {
--- a/crates/sycamore-platform/src/http/pool.rs
+++ b/crates/sycamore-platform/src/http/pool.rs
@@ -40,8 +40,8 @@
     /// Sends `request` and returns the status and body of its answer.
     ///
     /// The answer's head must arrive within `timeout`, which includes the wait for a free
-    /// connection, and each part of the body within `timeout` of the part before it, so that a large
-    /// answer over a slow link may take longer than `timeout` in all.
+    /// connection, and each part of the body within `timeout` of the part before it, so that a
+    /// large answer over a slow link may take longer than `timeout` in all.
     ///
     /// # Errors
     /// [`Error::Unreachable`] if no connection was available in time; nothing was sent.
--- a/crates/sycamore-platform/src/settle/mod.rs
+++ b/crates/sycamore-platform/src/settle/mod.rs
@@ -3,8 +3,8 @@
 //! Every row changed this way stores the identifiers of the last operations that changed it. A
 //! proposer whose answer was lost reads the row. If the row lists the proposer's operation, the
 //! write took effect. If it lists every operation since the base revision and not the proposer's,
-//! the write had no effect. If the row is unchanged, the same compare-and-set is sent again: at most
-//! one of the two can take effect. Rows changed this way are never deleted.
+//! the write had no effect. If the row is unchanged, the same compare-and-set is sent again: at
+//! most one of the two can take effect. Rows changed this way are never deleted.
 
 mod machine;
 mod run;
--- a/crates/sycamore-platform/src/settle/stamped.rs
+++ b/crates/sycamore-platform/src/settle/stamped.rs
@@ -14,7 +14,7 @@
     /// Operations before `op`, latest first, at most [`RECENT_OPS`].
     #[serde(default)]
     pub recent: Vec<OpId>,
-    /// Fields of the value itself, stored beside `op` and `recent` in the same JSON object.
+    /// Fields of the value itself, stored together with `op` and `recent` in the same JSON object.
     #[serde(flatten)]
     pub body: T,
 }
--- a/crates/sycamore-platform/tests/budget.rs
+++ b/crates/sycamore-platform/tests/budget.rs
@@ -6,8 +6,8 @@
 use sycamore_platform::budget::{Budget, BudgetSettings};
 use sycamore_types::prelude::*;
 
-// Guards against a node that reads faster than its share of the fleet's rate, which would exceed the
-// platform's limits once all nodes do so.
+// Guards against a node that reads faster than its share of the fleet's rate, which would exceed
+// the platform's limits once all nodes do so.
 #[test]
 fn node_reads_no_more_than_its_share() {
     let settings = BudgetSettings { reads_per_s: 100.0, writes_per_s: 10.0, burst: 2.0 };
--- a/crates/sycamore-platform/tests/http.rs
+++ b/crates/sycamore-platform/tests/http.rs
@@ -33,8 +33,8 @@
     text
 }
 
-/// Starts a server that accepts one connection per entry of `answers`, answers one request on it and
-/// closes it. The thread returns the first line of each request.
+/// Starts a server that accepts one connection per entry of `answers`, answers one request on it
+/// and closes it. The thread returns the first line of each request.
 fn serve(
     answers: Vec<&'static str>,
 ) -> (HttpPlatform, SocketAddr, std::thread::JoinHandle<Vec<String>>) {
--- a/crates/sycamore-settings/src/calls.rs
+++ b/crates/sycamore-settings/src/calls.rs
@@ -7,8 +7,8 @@
 
 /// Memory reserved for the request body of one exchange, in bytes.
 ///
-/// The reservation covers the first part of the body (up to 32 KiB and one read), a copy of it while
-/// it is sent, and the reads of the relay.
+/// The reservation covers the first part of the body (up to 32 KiB and one read), a copy of it
+/// while it is sent, and the reads of the relay.
 pub const EXCHANGE_BYTES: u64 = 128 << 10;
 
 /// Algorithm that adapts the concurrency limit to the upstream.
@@ -48,8 +48,8 @@
     /// Time for which a draining node still accepts new calls, while callers switch to other nodes.
     #[serde_as(as = "Span")]
     pub drain_notice: Duration,
-    /// Whether the upstream's listener may have an address other than loopback, which programs other
-    /// than the upstream on the node's instance may reach.
+    /// Whether the upstream's listener may have an address other than loopback, which programs
+    /// other than the upstream on the node's instance may reach.
     #[serde_as(as = "DisplayFromStr")]
     pub upstream_beyond_loopback: bool,
     /// Shortest retry delay that a caller is given when its call is refused for overload.
@@ -59,8 +59,8 @@
     /// known free capacity without using the retry budget.
     #[serde_as(as = "DisplayFromStr")]
     pub free_reroutes: u8,
-    /// Largest number of retries to a service that all nodes together may accumulate, in addition to
-    /// the percentage of calls in the service's retry budget; `None` allows ten per node.
+    /// Largest number of retries to a service that all nodes together may accumulate, in addition
+    /// to the percentage of calls in the service's retry budget; `None` allows ten per node.
     #[serde_as(as = "NoneAsEmptyString")]
     pub fleet_retries_saved: Option<u32>,
     /// Algorithm that adapts the concurrency limit to the upstream.
@@ -70,8 +70,8 @@
     pub quarantine: Duration,
     /// Time for which an idempotency key is remembered after its call.
     ///
-    /// A new owner of a key answers "unknown" for this time plus [`Calls::view_lag`] if it can't ask
-    /// the old owner. A call that may have been in flight for longer than half of this time is
+    /// A new owner of a key answers "unknown" for this time plus [`Calls::view_lag`] if it can't
+    /// ask the old owner. A call that may have been in flight for longer than half of this time is
     /// answered "unknown" too; the other half is left for callers to repeat a call.
     #[serde_as(as = "Span")]
     pub key_memory: Duration,
--- a/crates/sycamore-settings/src/node.rs
+++ b/crates/sycamore-settings/src/node.rs
@@ -52,8 +52,8 @@
     /// Address of the listener for control messages of other nodes.
     #[serde_as(as = "DisplayFromStr")]
     pub peer: SocketAddr,
-    /// Address at which other nodes reach the relay listener, if it differs from the listener's own,
-    /// for example because of port forwarding.
+    /// Address at which other nodes reach the relay listener, if it differs from the listener's
+    /// own, for example because of port forwarding.
     #[serde_as(as = "NoneAsEmptyString")]
     pub relay_advertised: Option<SocketAddr>,
     /// Address at which other nodes reach the peer listener, if it differs from the listener's own.
--- a/crates/sycamore-settings/src/platform.rs
+++ b/crates/sycamore-settings/src/platform.rs
@@ -18,7 +18,8 @@
     /// Address of the object store.
     #[serde_as(as = "DisplayFromStr")]
     pub objects: SocketAddr,
-    /// Longest time until the answer to a request begins, connecting included, and between its parts.
+    /// Longest time until the answer to a request begins, connecting included, and between its
+    /// parts.
     #[serde_as(as = "Span")]
     pub timeout: Duration,
     /// Largest rate of reads per second with which all nodes together look for changes, at least 1.
--- a/crates/sycamore-settings/tests/load.rs
+++ b/crates/sycamore-settings/tests/load.rs
@@ -68,7 +68,8 @@
 }
 
 // Guards against accepting keys that are valid alone but contradict each other: an address in use
-// twice, a listener beyond loopback that is not allowed, a short token, a timeout over its interval.
+// twice, a listener beyond loopback that is not allowed, a short token, a timeout over its
+// interval.
 #[test]
 fn contradicting_settings_are_refused() {
     let text = format!(
--- a/crates/sycamore-timeline/src/ring.rs
+++ b/crates/sycamore-timeline/src/ring.rs
@@ -12,7 +12,7 @@
 pub struct Source {
     /// Instance that the process runs as.
     pub instance: InstanceId,
-    /// Generation of the process.
+    /// Incarnation of the process when it started.
     pub incarnation: Incarnation,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Records an event that happened at wall time `now`, and returns it.
+    /// Records an event that happened at wall-clock time `now`, and returns it.
     pub fn record(&mut self, kind: EventKind, now: WallTime) -> &Event {
         self.stamp = self.stamp.tick(now);
         self.seq += 1;
@@ -67,7 +67,7 @@
         &self.events[self.events.len() - 1]
     }
 
-    /// Advances the logical clock and returns the stamp of a message sent at wall time `now`.
+    /// Advances the logical clock and returns the stamp of a message sent at wall-clock time `now`.
     pub fn stamp(&mut self, now: WallTime) -> Stamp {
         self.stamp = self.stamp.tick(now);
         self.stamp
--- a/crates/sycamore-timeline/tests/timeline.rs
+++ b/crates/sycamore-timeline/tests/timeline.rs
@@ -5,18 +5,18 @@
 use sycamore_timeline::{gaps, merge, BatchOptions, Batcher, Cursor, Filter, Ring, Source};
 use sycamore_types::prelude::*;
 
-/// Process of the instance `name`.
+/// Returns a process of the instance `name`.
 fn source(name: &str) -> Source {
     Source { instance: InstanceId::new(name).expect("valid"), incarnation: Incarnation(1) }
 }
 
-/// Event about the move `mv`.
+/// Returns an event about the move `mv`.
 fn step(mv: &str) -> EventKind {
     let mv = MoveId::new(mv).expect("valid");
     EventKind::MoveStep { mv, share: Share::from_basis_points(500) }
 }
 
-/// Events of the instance `name`, one per wall time in milliseconds.
+/// Returns events of the instance `name`, one per wall-clock time in milliseconds.
 fn events(name: &str, walls: &[u64]) -> Vec<Event> {
     let mut ring = Ring::new(source(name), 1_000);
     walls.iter().map(|wall| ring.record(EventKind::Draining, WallTime(*wall)).clone()).collect()
--- a/crates/sycamore-types/src/fact.rs
+++ b/crates/sycamore-types/src/fact.rs
@@ -7,7 +7,7 @@
 use crate::time::WallTime;
 use serde::{Deserialize, Serialize};
 
-/// Piece of knowledge that spreads by gossip.
+/// Fact about a version, a move, a request or the configuration that nodes spread by gossip.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "fact", rename_all = "kebab-case")]
 pub enum Fact {
@@ -65,14 +65,14 @@
         /// Time after which the copy may be dropped.
         until: WallTime,
     },
-    /// Release of one step of a move's schedule: the evidence that the step requires has been seen.
-    /// It permits no more than the move's row does.
+    /// Clearance of one step of a move's schedule: the evidence that the step requires has been
+    /// seen. A clearance permits no more than the move's row does.
     Cleared {
-        /// Move whose step is released.
+        /// Move whose step is cleared.
         by: MoveId,
-        /// Index of the released step in the move's schedule, from 0.
+        /// Index of the cleared step in the move's schedule, from 0.
         step: u16,
-        /// Time of the release; the earliest one is kept.
+        /// Time of the clearance; the earliest one is kept.
         at: Stamp,
         /// Time after which the fact may be dropped.
         until: WallTime,
@@ -97,7 +97,7 @@
     Head,
     /// Move whose row was copied.
     MoveRow(MoveId),
-    /// Move and the index of its released step.
+    /// Move and the index of its cleared step.
     Cleared(MoveId, u16),
 }
 
--- a/crates/sycamore-types/src/time.rs
+++ b/crates/sycamore-types/src/time.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Point in wall-clock time, in milliseconds since the Unix epoch; clocks of different instances may
-/// differ by seconds.
+/// Point in wall-clock time, in milliseconds since the Unix epoch; clocks of different instances
+/// may differ by seconds.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
