--- a/crates/sycamore-platform/src/http/mod.rs
+++ b/crates/sycamore-platform/src/http/mod.rs
@@ -238,32 +238,32 @@
         let request = request.ok_or_else(|| Report::new(Error::Unsupported))?;
         let timeout = wait + self.timeout;
         let (status, body) = self.send(&self.watches, RequestKind::Watch, request, timeout).await?;
-        self.protocol.changed(prefix, status, &body)
+        self.protocol.decode_changes(prefix, status, &body)
     }
 }
 
 impl Table for HttpPlatform {
     async fn get(&self, key: &str) -> Result<Option<Row>> {
         let (status, body) = self.read(&self.table, self.protocol.get(key)).await?;
-        self.protocol.row(key, status, &body)
+        self.protocol.decode_row(key, status, &body)
     }
 
     async fn list(&self, query: PageQuery<'_>) -> Result<Page> {
         let (status, body) = self.read(&self.table, self.protocol.list(query)).await?;
-        self.protocol.page(query, status, &body)
+        self.protocol.decode_page(query, status, &body)
     }
 
     async fn transact(&self, transaction: &Transaction) -> Result<Transacted> {
         let request = self.protocol.transact(transaction);
         let (status, body) = self.write(&self.table, request).await?;
-        self.protocol.transacted(transaction, status, &body)
+        self.protocol.decode_transaction(transaction, status, &body)
     }
 }
 
 impl Objects for HttpPlatform {
     async fn put(&self, key: &str, body: Bytes) -> Result<Put> {
         let (status, _) = self.write(&self.objects, self.protocol.put(key, body)).await?;
-        self.protocol.stored(status)
+        self.protocol.decode_put(status)
     }
 
     async fn fetch(&self, key: &str) -> Result<Option<Bytes>> {
@@ -276,6 +276,6 @@
 
     async fn keys(&self, prefix: &str) -> Result<Vec<String>> {
         let (status, body) = self.read(&self.objects, self.protocol.keys(prefix)).await?;
-        self.protocol.names(status, &body)
+        self.protocol.decode_keys(status, &body)
     }
 }
--- a/crates/sycamore-platform/src/http/native.rs
+++ b/crates/sycamore-platform/src/http/native.rs
@@ -29,7 +29,7 @@
         StoreRequest::get(format!("/table/row/{}", escape(key)))
     }
 
-    fn row(&self, _: &str, status: StatusCode, body: &[u8]) -> Result<Option<Row>> {
+    fn decode_row(&self, _: &str, status: StatusCode, body: &[u8]) -> Result<Option<Row>> {
         match status {
             StatusCode::OK => decode(body).map(Some),
             StatusCode::NOT_FOUND => Ok(None),
@@ -43,7 +43,7 @@
         StoreRequest::get(format!("/table/rows?prefix={prefix}&after={after}&limit={limit}"))
     }
 
-    fn page(&self, _: PageQuery<'_>, status: StatusCode, body: &[u8]) -> Result<Page> {
+    fn decode_page(&self, _: PageQuery<'_>, status: StatusCode, body: &[u8]) -> Result<Page> {
         match status {
             StatusCode::OK => decode(body),
             StatusCode::NOT_FOUND => Ok(Page::default()),
@@ -57,7 +57,12 @@
         StoreRequest { method: Method::POST, target, body: body.into(), only_new: false }
     }
 
-    fn transacted(&self, _: &Transaction, status: StatusCode, body: &[u8]) -> Result<Transacted> {
+    fn decode_transaction(
+        &self,
+        _: &Transaction,
+        status: StatusCode,
+        body: &[u8],
+    ) -> Result<Transacted> {
         if !matches!(status, StatusCode::OK | StatusCode::CONFLICT) {
             return Err(unexpected(status));
         }
@@ -81,7 +86,7 @@
         StoreRequest::get(format!("/objects?prefix={}", escape(prefix)))
     }
 
-    fn names(&self, status: StatusCode, body: &[u8]) -> Result<Vec<String>> {
+    fn decode_keys(&self, status: StatusCode, body: &[u8]) -> Result<Vec<String>> {
         match status {
             StatusCode::OK => decode(body),
             StatusCode::NOT_FOUND => Ok(Vec::new()),
--- a/crates/sycamore-platform/src/http/protocol.rs
+++ b/crates/sycamore-platform/src/http/protocol.rs
@@ -41,7 +41,7 @@
     ///
     /// # Errors
     /// [`Error::Refused`] or [`Error::Malformed`], by the status and the body.
-    fn row(&self, key: &str, status: StatusCode, body: &[u8]) -> Result<Option<Row>>;
+    fn decode_row(&self, key: &str, status: StatusCode, body: &[u8]) -> Result<Option<Row>>;
 
     /// Encodes a read of one page of rows in key order.
     fn list(&self, query: PageQuery<'_>) -> StoreRequest;
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     /// [`Error::Refused`] or [`Error::Malformed`], by the status and the body.
-    fn page(&self, query: PageQuery<'_>, status: StatusCode, body: &[u8]) -> Result<Page>;
+    fn decode_page(&self, query: PageQuery<'_>, status: StatusCode, body: &[u8]) -> Result<Page>;
 
     /// Encodes a transaction.
     fn transact(&self, transaction: &Transaction) -> StoreRequest;
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// [`Error::Refused`] or [`Error::Malformed`], by the status and the body.
-    fn transacted(
+    fn decode_transaction(
         &self,
         transaction: &Transaction,
         status: StatusCode,
@@ -78,7 +78,7 @@
     /// # Errors
     /// [`Error::HistoryLost`] if the platform no longer holds the changes since that revision,
     /// otherwise [`Error::Refused`] or [`Error::Malformed`].
-    fn changed(&self, prefix: &str, status: StatusCode, body: &[u8]) -> Result<Changes> {
+    fn decode_changes(&self, prefix: &str, status: StatusCode, body: &[u8]) -> Result<Changes> {
         let _ = (prefix, body);
         Err(unexpected(status))
     }
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// [`Error::Refused`] or [`Error::Malformed`], by the status.
-    fn stored(&self, status: StatusCode) -> Result<Put> {
+    fn decode_put(&self, status: StatusCode) -> Result<Put> {
         match status {
             StatusCode::PRECONDITION_FAILED => Ok(Put::Exists),
             status if status.is_success() => Ok(Put::Stored),
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// [`Error::Refused`] or [`Error::Malformed`], by the status and the body.
-    fn names(&self, status: StatusCode, body: &[u8]) -> Result<Vec<String>>;
+    fn decode_keys(&self, status: StatusCode, body: &[u8]) -> Result<Vec<String>>;
 }
 
 /// Returns the error for a status to which a protocol gives no other meaning.
