--- a/crates/sycamore-node/src/config/accept.rs
+++ b/crates/sycamore-node/src/config/accept.rs
@@ -169,7 +169,7 @@
             Ok(answer) => return Ok(answer),
             Err(report) => report,
         };
-        let delay = backoff.fail();
+        let delay = backoff.record_failure();
         if backoff.failures() >= MAX_ATTEMPTS {
             return Err(report);
         }
--- a/crates/sycamore-node/src/config/follow.rs
+++ b/crates/sycamore-node/src/config/follow.rs
@@ -47,7 +47,7 @@
             }
             Err(report) => {
                 watch.record_failure(report.current_context());
-                monoio::time::sleep(backoff.fail()).await;
+                monoio::time::sleep(backoff.record_failure()).await;
             }
         }
         driver.metrics.copy_platform_traffic(driver.platform.http().traffic());
--- a/crates/sycamore-node/src/hub/facts.rs
+++ b/crates/sycamore-node/src/hub/facts.rs
@@ -95,7 +95,7 @@
     }
 
     /// Subscribes to the number of facts raised on this node.
-    pub fn raised(&self) -> watch::Receiver<u64> {
+    pub fn subscribe_raised(&self) -> watch::Receiver<u64> {
         self.raised.subscribe()
     }
 
--- a/crates/sycamore-node/src/peers/register.rs
+++ b/crates/sycamore-node/src/peers/register.rs
@@ -64,7 +64,7 @@
 {
     let mut backoff = Backoff::new(BackoffSettings::default(), rand::random());
     while !matches!(step().await, Ok(true)) {
-        monoio::time::sleep(backoff.fail()).await;
+        monoio::time::sleep(backoff.record_failure()).await;
     }
 }
 
--- a/crates/sycamore-node/src/peers/tasks.rs
+++ b/crates/sycamore-node/src/peers/tasks.rs
@@ -83,7 +83,7 @@
 
 /// Hands the facts raised on this node to the state machine, which spreads them.
 async fn spread_facts(driver: Rc<Driver>) {
-    let mut raised = driver.hub.facts.raised();
+    let mut raised = driver.hub.facts.subscribe_raised();
     loop {
         for fact in driver.hub.facts.take_unsent() {
             driver.input(Input::Raise(fact));
--- a/crates/sycamore-platform/src/backoff.rs
+++ b/crates/sycamore-platform/src/backoff.rs
@@ -52,13 +52,13 @@
     }
 
     /// Counts one more failure and returns the delay before the next attempt.
-    pub fn fail(&mut self) -> Duration {
+    pub fn record_failure(&mut self) -> Duration {
         self.failures = self.failures.saturating_add(1);
         self.settings.delay(self.failures, self.seed)
     }
 
     /// Resets the number of failures after a success.
-    pub fn succeed(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/sycamore-platform/src/settle/machine.rs
+++ b/crates/sycamore-platform/src/settle/machine.rs
@@ -132,7 +132,7 @@
         if self.backoff.failures() + 1 >= self.failures {
             return Step::Done(Settled::Unknown { may_have_run: self.uncertain });
         }
-        let delay = self.backoff.fail();
+        let delay = self.backoff.record_failure();
         if self.uncertain {
             Step::Read(delay)
         } else {
--- a/crates/sycamore-platform/tests/budget.rs
+++ b/crates/sycamore-platform/tests/budget.rs
@@ -34,7 +34,7 @@
         let mut backoff = Backoff::new(settings.clone(), seed);
         (0..failures).all(|i| {
             let bound = settings.base.saturating_mul(1 << u32::from(i).min(16));
-            backoff.fail() <= bound.min(settings.cap)
+            backoff.record_failure() <= bound.min(settings.cap)
         })
     }
 }
