--- a/crates/sycamore-call/src/gate/mod.rs
+++ b/crates/sycamore-call/src/gate/mod.rs
@@ -14,8 +14,8 @@
     pub version: &'a UpstreamVersion,
     /// Traffic share that the caller's node applied.
     pub share: Share,
-    /// Random number of 0 to 9,999 that decides by traffic share which version gets the call; the
-    /// same at every node that handles the call.
+    /// Number from 0 to 9,999 that decides whether a call above the share in force is refused;
+    /// uniformly distributed over calls, and the same for one call at every node.
     pub draw: u16,
 }
 
--- a/crates/sycamore-call/tests/decisions/model/key.rs
+++ b/crates/sycamore-call/tests/decisions/model/key.rs
@@ -17,7 +17,7 @@
 const NODES: usize = 3;
 const UNIT: Duration = Duration::from_secs(1);
 const REQUEST: u64 = 1;
-/// Time after which the ownership of all keys is certain, in units.
+/// Time after which the ownership of all keys is certain, in units of the model's time.
 const CERTAIN_AFTER: u8 = 4;
 
 fn at(units: u8) -> Time {
@@ -45,7 +45,7 @@
     now: u8,
     nodes: Vec<Node>,
     sides: Sides,
-    /// Time of the last run, in units.
+    /// Time of the last run, in units of the model's time.
     last_run: Option<u8>,
     ran_twice_within_memory: bool,
     /// Number of faults that the environment may still cause.
@@ -87,7 +87,7 @@
     ownership: OwnershipConfig,
     /// Time for which a node remembers the record of a key, in units of the model's time.
     remembered: u8,
-    /// Minimum time that must lie between two runs, in units.
+    /// Minimum time that must lie between two runs, in units of the model's time.
     promised: u8,
     units: u8,
     faults: u8,
--- a/crates/sycamore-node/src/config/accept.rs
+++ b/crates/sycamore-node/src/config/accept.rs
@@ -14,7 +14,7 @@
 use sycamore_platform::{propose, Error, Objects, Proposal, Row, Settled, Table};
 use sycamore_types::prelude::*;
 
-/// Attempts at one platform request before the command fails.
+/// Number of attempts at one platform request before the command fails.
 const MAX_ATTEMPTS: u32 = 4;
 
 /// Body of the command `config-apply`.
--- a/crates/sycamore-node/src/config/driver.rs
+++ b/crates/sycamore-node/src/config/driver.rs
@@ -19,7 +19,7 @@
 
 /// Capacity of the fetch queue. The state machine has one fetch open for each head it follows.
 const FETCH_QUEUE: usize = 16;
-/// Rejected heads kept for the query `config`; the oldest is dropped first.
+/// Maximum number of rejected heads kept for the query `config`; the oldest is dropped first.
 const MAX_REJECTED: usize = 8;
 
 /// Longest time a configuration takes from the platform's row to a node that watches it: 1 MB over
--- a/crates/sycamore-node/src/config/fetch.rs
+++ b/crates/sycamore-node/src/config/fetch.rs
@@ -12,7 +12,7 @@
 use sycamore_types::prelude::*;
 use tokio::sync::mpsc;
 
-/// Fetches that run concurrently.
+/// Number of configuration fetches that run concurrently.
 const WORKERS: usize = 4;
 /// Share of random fetches, in percent, that may go to a peer in any data centre; the others stay
 /// in this node's own.
--- a/crates/sycamore-node/src/config/serve.rs
+++ b/crates/sycamore-node/src/config/serve.rs
@@ -14,16 +14,16 @@
 use sycamore_peer::{Call, Objects};
 use sycamore_types::prelude::*;
 
-/// Longest time a request is held.
+/// Longest time for which a peer's fetch request is held until this node has a wanted object.
 const MAX_HOLD: Duration = Duration::from_millis(300);
-/// Time between two checks of the held requests.
+/// Time between two checks of the held fetch requests.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Held requests at most; further ones are answered at once.
+/// Maximum number of held fetch requests; further ones are answered at once.
 const MAX_HELD: usize = 64;
 
 type FetchCall = Call<Vec<ContentHash>, Objects>;
 
-/// Spawns the task that answers peers' requests.
+/// Spawns the task that answers peers' fetch requests.
 pub(super) fn start(driver: &Rc<Driver>, tasks: &TaskGroup) {
     let Some(mut calls) = driver.peers.take_fetch() else { return };
     let driver = driver.clone();
--- a/crates/sycamore-node/src/hub/facts.rs
+++ b/crates/sycamore-node/src/hub/facts.rs
@@ -7,7 +7,7 @@
 use sycamore_types::prelude::*;
 use tokio::sync::watch;
 
-/// Facts kept at most; beyond it, the facts that expire first are evicted first.
+/// Maximum number of facts kept; beyond it, the facts that expire first are evicted first.
 pub const MAX_FACTS: usize = 16_384;
 
 /// Facts known to a node. Readers share immutable snapshots of the map.
--- a/crates/sycamore-node/src/moves/act.rs
+++ b/crates/sycamore-node/src/moves/act.rs
@@ -13,9 +13,10 @@
 
 /// Key prefix of members' rows.
 const MEMBER_PREFIX: &str = "member/";
-/// Members' rows read per page.
+/// Number of members' rows read per page.
 const PAGE_ROWS: usize = 500;
-/// Failed requests after which an attempt to write a row ends; a later attempt may follow.
+/// Number of failed requests after which an attempt to write a row ends; a later attempt may
+/// follow.
 const MAX_WRITE_FAILURES: u32 = 3;
 
 /// Ticks the state machine of every move and executes the resulting actions.
--- a/crates/sycamore-node/src/moves/commands.rs
+++ b/crates/sycamore-node/src/moves/commands.rs
@@ -15,9 +15,9 @@
 use sycamore_platform::{Condition, Conflict, PageQuery, Revision, Row, Table, Write};
 use sycamore_types::prelude::*;
 
-/// Rows of moves read per page.
+/// Number of move rows read per page.
 const PAGE_ROWS: usize = 500;
-/// Pages read for one import at most; rows beyond them are ignored.
+/// Maximum number of pages read for one import; rows beyond them are ignored.
 const MAX_PAGES: usize = 8;
 
 /// Body of the command `sheet-import`.
--- a/crates/sycamore-node/src/moves/orders.rs
+++ b/crates/sycamore-node/src/moves/orders.rs
@@ -23,7 +23,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Fraction of an order's duration that is reserved for writing its final status.
 const STATUS_RESERVE: f64 = 0.12;
-/// Nodes that may plan the move of an order, one after the other.
+/// Maximum number of nodes that try to plan the move of an order, one after the other.
 const MAX_PLANNERS: usize = 4;
 /// Time each planner waits for every planner ranked before it.
 const PLANNER_DELAY: Duration = Duration::from_millis(400);
--- a/crates/sycamore-node/src/moves/queries.rs
+++ b/crates/sycamore-node/src/moves/queries.rs
@@ -11,7 +11,7 @@
 
 /// Key prefix of plans' rows.
 const PLAN_PREFIX: &str = "plan/";
-/// Plans in one answer at most; further ones are left out.
+/// Maximum number of plans in one answer; further ones are left out.
 const MAX_PLANS: usize = 500;
 
 impl Moves {
--- a/crates/sycamore-node/src/moves/rows.rs
+++ b/crates/sycamore-node/src/moves/rows.rs
@@ -17,9 +17,9 @@
 const MIN_POLL_INTERVAL: Duration = Duration::from_secs(5);
 /// Longest random delay before the first poll.
 const START_JITTER: Duration = Duration::from_secs(1);
-/// Rows read per page.
+/// Number of move rows read per page.
 const PAGE_ROWS: usize = 100;
-/// Pages read in one poll at most; rows beyond them are ignored.
+/// Maximum number of pages read in one poll; rows beyond them are ignored.
 const MAX_PAGES: usize = 16;
 /// Time after a move's deadline until the facts that hold its row expire.
 const FACT_RETENTION: Duration = Duration::from_secs(86_400);
--- a/crates/sycamore-node/src/moves/state.rs
+++ b/crates/sycamore-node/src/moves/state.rs
@@ -13,7 +13,8 @@
 use sycamore_moves::plan::MoveRow;
 use sycamore_types::prelude::*;
 
-/// Moves kept in memory at most; beyond it, the ended move with the oldest deadline is removed.
+/// Maximum number of moves kept in memory; beyond it, the ended move with the oldest deadline is
+/// removed.
 pub const MAX_MOVES: usize = 1_024;
 /// Shortest time after which a move no longer waits for the signature of an instance that is gone.
 const MIN_RETIRE: Duration = Duration::from_secs(5);
--- a/crates/sycamore-node/src/operator/serve.rs
+++ b/crates/sycamore-node/src/operator/serve.rs
@@ -28,7 +28,7 @@
 const MAX_BODY_BYTES: usize = 4 << 20;
 /// Largest accepted request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Connections served concurrently; further ones are closed.
+/// Maximum number of connections served concurrently; further ones are closed.
 const MAX_CONNECTIONS: usize = 64;
 /// Lifetime of a connection, after which it is closed.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
--- a/crates/sycamore-node/src/peers/register.rs
+++ b/crates/sycamore-node/src/peers/register.rs
@@ -16,9 +16,10 @@
 
 /// Key prefix of members' rows.
 const MEMBER_PREFIX: &str = "member/";
-/// Rows read as contacts at the start; one contact that answers is enough to join.
+/// Number of members' rows read as contacts at the start; one contact that answers is enough to
+/// join.
 const CONTACT_ROWS: usize = 16;
-/// Rows read per refresh.
+/// Number of members' rows read per refresh.
 const REFRESH_ROWS: usize = 64;
 /// Refreshes per second of the whole fleet.
 const FLEET_REFRESHES_PER_S: f64 = 2.0;
--- a/crates/sycamore-node/src/timeline/archive.rs
+++ b/crates/sycamore-node/src/timeline/archive.rs
@@ -8,7 +8,7 @@
 
 /// Key prefix of batches of events.
 const EVENTS_PREFIX: &str = "events/";
-/// Batches read for one query at most; the latest are preferred.
+/// Maximum number of batches read for one query; the latest are preferred.
 const MAX_BATCHES: usize = 256;
 
 /// Reads the archived events, of `instance` only if it is given, merged into one order. If there
--- a/crates/sycamore-node/src/timeline/mod.rs
+++ b/crates/sycamore-node/src/timeline/mod.rs
@@ -19,7 +19,7 @@
 
 /// Time between two checks of whether a batch is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Batches written at shutdown at most.
+/// Maximum number of batches of events written at shutdown.
 const MAX_FINAL_BATCHES: usize = 8;
 /// Timeout for writing the batches at shutdown, together.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/sycamore-platform/src/settle/stamped.rs
+++ b/crates/sycamore-platform/src/settle/stamped.rs
@@ -20,7 +20,8 @@
 }
 
 impl<T> Stamped<T> {
-    /// Builds the value with which `op` replaces `base`; `None` if the row is absent.
+    /// Builds the value with which the operation `op` replaces `base`, which is `None` if the row
+    /// is absent.
     pub fn after<U>(base: Option<&Stamped<U>>, op: OpId, body: T) -> Self {
         let recent = base.map(|base| base.ops().take(RECENT_OPS).collect()).unwrap_or_default();
         Self { op, recent, body }
