--- a/crates/sycamore-node/src/config/fetch.rs
+++ b/crates/sycamore-node/src/config/fetch.rs
@@ -57,12 +57,12 @@
     let fetched = monoio::time::timeout(limit, driver.peers.calls().fetch(to, hashes)).await;
     match fetched {
         Ok(Ok(objects)) if !objects.is_empty() => {
-            driver.metrics.fetched_from_peer();
+            driver.metrics.count_peer_fetch();
             FetchAnswer::Objects(objects.into_iter().map(|(_, body)| body).collect())
         }
         _ => {
             driver.record_peer_miss(head);
-            driver.metrics.missed_at_peer();
+            driver.metrics.count_peer_miss();
             FetchAnswer::Failed
         }
     }
@@ -71,7 +71,7 @@
 async fn fetch_from_store(driver: &Driver, head: ConfigHead) -> FetchAnswer {
     match driver.platform.http().fetch(&object_key(head.manifest)).await {
         Ok(Some(pack)) => {
-            driver.metrics.fetched_from_store();
+            driver.metrics.count_store_fetch();
             FetchAnswer::Pack(pack)
         }
         Ok(None) => FetchAnswer::Absent,
--- a/crates/sycamore-node/src/config/metrics.rs
+++ b/crates/sycamore-node/src/config/metrics.rs
@@ -67,17 +67,17 @@
     }
 
     /// Counts a fetch that a peer answered with objects.
-    pub(super) fn fetched_from_peer(&self) {
+    pub(super) fn count_peer_fetch(&self) {
         self.fetches.with_label_values(&["peer"]).inc();
     }
 
     /// Counts a fetch for which the peer had no object or sent no answer in time.
-    pub(super) fn missed_at_peer(&self) {
+    pub(super) fn count_peer_miss(&self) {
         self.fetches.with_label_values(&["peer-miss"]).inc();
     }
 
     /// Counts a fetch that the object store answered with a configuration.
-    pub(super) fn fetched_from_store(&self) {
+    pub(super) fn count_store_fetch(&self) {
         self.fetches.with_label_values(&["store"]).inc();
     }
 
