--- a/crates/sycamore-call/src/admit/queue.rs
+++ b/crates/sycamore-call/src/admit/queue.rs
@@ -83,10 +83,10 @@
     /// caller that holds at least [`MIN_EVICTION_LEAD`] more places than the arrival's caller.
     /// `running` is the number of running calls of the arrival's caller; they count as one place.
     pub(super) fn evict_for(&mut self, arrival: &Arrival, running: &usize) -> Option<u64> {
-        let victim = self
+        let evicted = self
             .find_lower_class(arrival)
             .or_else(|| self.find_dominant_caller(arrival, *running))?;
-        self.remove(victim).map(|waiting| waiting.arrival.id)
+        self.remove(evicted).map(|waiting| waiting.arrival.id)
     }
 
     fn find_lower_class(&self, arrival: &Arrival) -> Option<u64> {
--- a/crates/sycamore-http/src/conn/client.rs
+++ b/crates/sycamore-http/src/conn/client.rs
@@ -144,8 +144,8 @@
             let host = HeaderValue::from_str(&self.address.to_string());
             head.headers.insert(header::HOST, host.expect("an address is ASCII"));
         }
-        let bodiless = body.is_empty() && matches!(head.method, Method::GET | Method::HEAD);
-        let framing = if bodiless { Framing::Empty } else { Framing::Length(body.len() as u64) };
+        let has_no_body = body.is_empty() && matches!(head.method, Method::GET | Method::HEAD);
+        let framing = if has_no_body { Framing::Empty } else { Framing::Length(body.len() as u64) };
         let mut out = BytesMut::with_capacity(256 + body.len());
         encode_request(&head, framing, &mut out);
         out.extend_from_slice(&body);
--- a/crates/sycamore-member/src/machine/exchange.rs
+++ b/crates/sycamore-member/src/machine/exchange.rs
@@ -28,7 +28,7 @@
     /// Earliest time of the next fact exchange.
     next: Time,
     /// Number of consecutive fact exchanges without a new fact.
-    fruitless: u32,
+    without_new_facts: u32,
 }
 
 impl FactExchange {
@@ -44,9 +44,9 @@
 
     /// Schedules the next fact exchange at most `max_interval` after one that starts at `now`.
     fn schedule_next(&mut self, now: Time, max_interval: Duration) {
-        let factor = 1_u32.checked_shl(self.fruitless).unwrap_or(u32::MAX);
+        let factor = 1_u32.checked_shl(self.without_new_facts).unwrap_or(u32::MAX);
         self.next = now + MIN_FACT_INTERVAL.saturating_mul(factor).min(max_interval);
-        self.fruitless = self.fruitless.saturating_add(1);
+        self.without_new_facts = self.without_new_facts.saturating_add(1);
     }
 }
 
@@ -119,7 +119,7 @@
         let own = self.table.digest();
         if digest.facts == own.facts {
             self.fact_exchange.mismatch = None;
-            self.fact_exchange.fruitless = 0;
+            self.fact_exchange.without_new_facts = 0;
         } else if self.synced {
             let since = self.fact_exchange.mismatch.take().map_or(now.mono, |(since, _)| since);
             self.fact_exchange.mismatch = Some((since, peer.clone()));
@@ -233,7 +233,7 @@
         let before = self.table.digest().facts;
         self.join_exchanged(now, reply.items, actions);
         if self.table.digest().facts != before {
-            self.fact_exchange.fruitless = 0;
+            self.fact_exchange.without_new_facts = 0;
         }
         let Some(to) = self.table.member(peer).map(|member| member.endpoints.peer) else { return };
         if !offers.is_empty() {
@@ -272,11 +272,11 @@
     }
 }
 
-/// Returns whether `mine` replaces `theirs`, an item with the same key.
-fn item_supersedes(mine: &Item, theirs: &Item) -> bool {
-    match (mine, theirs) {
-        (Item::Member(mine), Item::Member(theirs)) => supersedes(mine, theirs),
-        (Item::Fact(mine), Item::Fact(theirs)) => mine.replaces(theirs),
+/// Returns whether `own` replaces `theirs`, an item with the same key.
+fn item_supersedes(own: &Item, theirs: &Item) -> bool {
+    match (own, theirs) {
+        (Item::Member(own), Item::Member(theirs)) => supersedes(own, theirs),
+        (Item::Fact(own), Item::Fact(theirs)) => own.replaces(theirs),
         _ => false,
     }
 }
--- a/crates/sycamore-member/src/machine/mod.rs
+++ b/crates/sycamore-member/src/machine/mod.rs
@@ -125,7 +125,7 @@
     fact_exchange: FactExchange,
     /// Pending exchanges started by this node, each with its start and scope.
     exchanging: BTreeMap<InstanceId, (Time, Scope)>,
-    /// Set once an exchange of whole tables was completed.
+    /// Whether an exchange of whole tables has been completed since the start.
     synced: bool,
 }
 
--- a/crates/sycamore-moves/tests/back_from_cut.rs
+++ b/crates/sycamore-moves/tests/back_from_cut.rs
@@ -9,7 +9,7 @@
 const PARTITION_S: u64 = 400;
 
 /// The other nodes clear the watch period at 450 s while n1 is partitioned off with its platform.
-/// At the end of the partition n1 must not record a timeout before it hears of that. The partition
+/// At the end of the partition n1 must not record a timeout before it learns of that. The partition
 /// ends at each phase of n1's attempts to record an outcome.
 #[test]
 fn a_node_back_from_a_cut_learns_the_proof_before_it_ends_the_move() {
--- a/crates/sycamore-node/src/calls/failed.rs
+++ b/crates/sycamore-node/src/calls/failed.rs
@@ -69,7 +69,7 @@
             "no answer came from the upstream's node before the deadline",
         ),
         Failure::Broken | Failure::CallerGone => {
-            let detail = "no whole answer came from the upstream's node";
+            let detail = "no complete answer came from the upstream's node";
             Answer::unknown(StatusCode::BAD_GATEWAY, "broken", detail)
         }
     };
@@ -100,8 +100,11 @@
         _ if retry_after.is_some() => None,
         _ => {
             let failure = AttemptFailure::Unknown { crashed: reason == crash::CRASH_REASON };
-            let answer =
-                Answer::unknown(answered.head.status, reason, "the upstream gave no whole answer");
+            let answer = Answer::unknown(
+                answered.head.status,
+                reason,
+                "the upstream gave no complete answer",
+            );
             Some(FailedAttempt { failure, answer })
         }
     }
--- a/crates/sycamore-node/src/edge/mod.rs
+++ b/crates/sycamore-node/src/edge/mod.rs
@@ -90,7 +90,8 @@
     Shed,
     /// The call has not run, for this reason; the node answers instead of relaying.
     NotRun(RefusalReason),
-    /// The answer belongs to another call or is not the upstream's whole answer, for this reason.
+    /// The answer belongs to another call or is not the upstream's complete answer, for this
+    /// reason.
     Foreign(&'static str),
 }
 
--- a/crates/sycamore-node/src/moves/state.rs
+++ b/crates/sycamore-node/src/moves/state.rs
@@ -16,10 +16,10 @@
 /// Maximum number of moves kept in memory; beyond it, the ended move with the oldest deadline is
 /// removed.
 pub const MAX_MOVES: usize = 1_024;
-/// Shortest time after which a move no longer waits for the signature of an instance that is gone.
-const MIN_RETIRE: Duration = Duration::from_secs(5);
-/// Longest time after which a move no longer waits for the signature of an instance that is gone.
-const MAX_RETIRE: Duration = Duration::from_secs(30);
+/// Shortest time after which a move no longer waits for the confirmation of an instance that left.
+const MIN_DEPARTURE_GRACE: Duration = Duration::from_secs(5);
+/// Longest time after which a move no longer waits for the confirmation of an instance that left.
+const MAX_DEPARTURE_GRACE: Duration = Duration::from_secs(30);
 
 /// Move known to this node.
 pub struct Entry {
@@ -107,7 +107,7 @@
         }
         let watch = row.schedule.steps[row.schedule.watch_step()].hold;
         let options = ControlOptions {
-            departure_grace: watch.clamp(MIN_RETIRE, MAX_RETIRE),
+            departure_grace: watch.clamp(MIN_DEPARTURE_GRACE, MAX_DEPARTURE_GRACE),
             ..ControlOptions::default()
         };
         let mv = row.spec.mv.clone();
--- a/crates/sycamore-node/src/peers/leave.rs
+++ b/crates/sycamore-node/src/peers/leave.rs
@@ -35,9 +35,9 @@
 async fn delete_row(driver: &Driver, platform: &Platform) {
     let key = member_key(&driver.hub.settings.node.instance);
     let Ok(Some(row)) = platform.http().get(&key).await else { return };
-    let ours =
+    let is_own =
         decode_member(&row).is_some_and(|member| member.incarnation == driver.hub.incarnation);
-    if ours {
+    if is_own {
         let conditions = vec![Condition { key: key.clone(), revision: row.revision }];
         let writes = vec![Write { key, value: None }];
         // Other nodes delete a row that stays once this node has been dead for long enough.
--- a/crates/sycamore-node/src/run.rs
+++ b/crates/sycamore-node/src/run.rs
@@ -173,7 +173,7 @@
 /// Handlers of the signals SIGTERM and SIGINT, which stop the process, and SIGHUP, which makes it
 /// read its settings again.
 struct Signals {
-    wakes: UnixStream,
+    wakeups: UnixStream,
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
 }
@@ -189,13 +189,13 @@
             pipe::register(signal, tx).change_context(RunError::Signals)?;
         }
         rx.set_nonblocking(true).change_context(RunError::Signals)?;
-        let wakes = UnixStream::from_std(rx).change_context(RunError::Signals)?;
-        Ok(Self { wakes, stop, reload })
+        let wakeups = UnixStream::from_std(rx).change_context(RunError::Signals)?;
+        Ok(Self { wakeups, stop, reload })
     }
 
     async fn next(&mut self) -> Signal {
         loop {
-            let (read, _) = self.wakes.read(vec![0; 1]).await;
+            let (read, _) = self.wakeups.read(vec![0; 1]).await;
             if read.is_err() || self.stop.load(Ordering::SeqCst) {
                 return Signal::Stop;
             }
--- a/crates/sycamore-types/src/member.rs
+++ b/crates/sycamore-types/src/member.rs
@@ -45,7 +45,7 @@
     pub instance: InstanceId,
     /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Lifecycle state, as last heard.
+    /// Last known lifecycle state.
     pub state: MemberState,
     /// Service that the upstream serves.
     pub service: ServiceName,
