--- a/crates/sycamore-call/src/gate/mod.rs
+++ b/crates/sycamore-call/src/gate/mod.rs
@@ -14,7 +14,8 @@
     pub version: &'a UpstreamVersion,
     /// Traffic share that the caller's node applied.
     pub share: Share,
-    /// Number of 0 to 9,999, uniformly distributed over calls and equal for one call at every node.
+    /// Number from 0 to 9,999 that decides whether a call above the share in force is refused;
+    /// uniformly distributed over calls, and the same for one call at every node.
     pub draw: u16,
 }
 
--- a/crates/sycamore-call/src/quarantine/mod.rs
+++ b/crates/sycamore-call/src/quarantine/mod.rs
@@ -2,8 +2,8 @@
 //! against is refused everywhere until the quarantine expires.
 //!
 //! A crash involves every request in flight on the instance, most of them harmless. So a request
-//! that completed here recently is not suspected, and a suspect never runs beside another suspect,
-//! so that a second crash identifies the culprit.
+//! that completed here recently is not suspected, and two suspects never run at the same time, so
+//! that a second crash identifies the culprit.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -32,7 +32,8 @@
 pub enum Verdict {
     /// No crash counts against the request.
     Clear,
-    /// The request was in flight at a crash; it may run, but not beside another suspect.
+    /// The request was in flight at a crash; it may run, but not at the same time as
+    /// another suspect.
     Suspect,
     /// The request crashes upstreams and is refused until this time.
     Quarantined(WallTime),
@@ -50,7 +51,7 @@
 }
 
 impl CrashLog {
-    /// Creates an empty log.
+    /// Creates a log without crashes.
     pub fn new(config: CrashLogConfig) -> Self {
         Self {
             config,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Returns the verdict on `request` at `now`.
+    /// Returns whether `request` is clear, suspect or quarantined at `now`.
     pub fn verdict(&self, now: WallTime, request: Fingerprint) -> Verdict {
         if let Some(until) = self.quarantined.get(&request).filter(|until| now < **until) {
             return Verdict::Quarantined(*until);
@@ -77,7 +78,7 @@
     }
 
     /// Records that `request` was answered by an upstream that did not crash.
-    pub fn completed(&mut self, request: Fingerprint) {
+    pub fn record_completion(&mut self, request: Fingerprint) {
         self.completed.push_back(request);
         *self.completed_count.entry(request).or_default() += 1;
         if self.completed.len() > self.config.entries {
@@ -87,7 +88,12 @@
 
     /// Records that the upstream beside this node crashed while `in_flight` ran there; `crash`
     /// identifies the crash. Returns the facts to spread.
-    pub fn crashed(&mut self, now: WallTime, crash: u64, in_flight: &[Fingerprint]) -> Vec<Fact> {
+    pub fn record_crash(
+        &mut self,
+        now: WallTime,
+        crash: u64,
+        in_flight: &[Fingerprint],
+    ) -> Vec<Fact> {
         let until = now + self.config.quarantine;
         let facts: Vec<Fact> = self
             .implicated_by_crash(now, in_flight)
@@ -127,13 +133,13 @@
                 None
             }
             Fact::CrashSeen { fingerprint, crash, until } => {
-                self.record_crash(now, *fingerprint, *crash, *until)
+                self.count_crash(now, *fingerprint, *crash, *until)
             }
             _ => None,
         }
     }
 
-    fn record_crash(
+    fn count_crash(
         &mut self,
         now: WallTime,
         fingerprint: Fingerprint,
--- a/crates/sycamore-member/src/machine/exchange.rs
+++ b/crates/sycamore-member/src/machine/exchange.rs
@@ -12,7 +12,8 @@
 const MAX_EXCHANGES: usize = 2;
 /// Time after which an exchange without a reported result counts as failed.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for which facts must differ before they are exchanged; pushed facts arrive sooner.
+/// Time for which the facts of two nodes must differ before they are exchanged; pushed facts arrive
+/// sooner.
 const MIN_FACT_MISMATCH: Duration = Duration::from_millis(100);
 /// Lower bound on the time between two fact exchanges. Each exchange without a new fact doubles it,
 /// up to the interval of table exchanges, because clock skew makes facts expire at different times,
@@ -27,11 +28,12 @@
     /// Earliest time of the next fact exchange.
     next: Time,
     /// Number of consecutive fact exchanges without a new fact.
-    fruitless: u32,
+    without_new_facts: u32,
 }
 
 impl FactExchange {
-    /// Returns the node to exchange facts with if an exchange is due, and resets the difference.
+    /// Returns the node to exchange facts with if a fact exchange is due, and forgets that its
+    /// facts differ.
     fn take_due(&mut self, now: Time) -> Option<InstanceId> {
         let (since, _) = self.mismatch.as_ref()?;
         if now < self.next || now.since(*since) < MIN_FACT_MISMATCH {
@@ -42,9 +44,9 @@
 
     /// Schedules the next fact exchange at most `max_interval` after one that starts at `now`.
     fn schedule_next(&mut self, now: Time, max_interval: Duration) {
-        let factor = 1_u32.checked_shl(self.fruitless).unwrap_or(u32::MAX);
+        let factor = 1_u32.checked_shl(self.without_new_facts).unwrap_or(u32::MAX);
         self.next = now + MIN_FACT_INTERVAL.saturating_mul(factor).min(max_interval);
-        self.fruitless = self.fruitless.saturating_add(1);
+        self.without_new_facts = self.without_new_facts.saturating_add(1);
     }
 }
 
@@ -117,7 +119,7 @@
         let own = self.table.digest();
         if digest.facts == own.facts {
             self.fact_exchange.mismatch = None;
-            self.fact_exchange.fruitless = 0;
+            self.fact_exchange.without_new_facts = 0;
         } else if self.synced {
             let since = self.fact_exchange.mismatch.take().map_or(now.mono, |(since, _)| since);
             self.fact_exchange.mismatch = Some((since, peer.clone()));
@@ -231,7 +233,7 @@
         let before = self.table.digest().facts;
         self.join_exchanged(now, reply.items, actions);
         if self.table.digest().facts != before {
-            self.fact_exchange.fruitless = 0;
+            self.fact_exchange.without_new_facts = 0;
         }
         let Some(to) = self.table.member(peer).map(|member| member.endpoints.peer) else { return };
         if !offers.is_empty() {
@@ -270,11 +272,11 @@
     }
 }
 
-/// Returns whether `mine` replaces `theirs`, an item with the same key.
-fn item_supersedes(mine: &Item, theirs: &Item) -> bool {
-    match (mine, theirs) {
-        (Item::Member(mine), Item::Member(theirs)) => supersedes(mine, theirs),
-        (Item::Fact(mine), Item::Fact(theirs)) => mine.replaces(theirs),
+/// Returns whether `own` replaces `theirs`, an item with the same key.
+fn item_supersedes(own: &Item, theirs: &Item) -> bool {
+    match (own, theirs) {
+        (Item::Member(own), Item::Member(theirs)) => supersedes(own, theirs),
+        (Item::Fact(own), Item::Fact(theirs)) => own.replaces(theirs),
         _ => false,
     }
 }
--- a/crates/sycamore-node/src/calls/beside.rs
+++ b/crates/sycamore-node/src/calls/beside.rs
@@ -95,7 +95,9 @@
         objective: meta.objective,
         work: meta.work(),
     };
-    let slot = match select(pin!(acquire(state, arrival)), pin!(inbound.reader.closed())).await {
+    let slot = match select(pin!(acquire(state, arrival)), pin!(inbound.reader.wait_until_closed()))
+        .await
+    {
         Either::Left((slot, _)) => slot,
         Either::Right(_) => return Ok(None),
     };
@@ -299,7 +301,7 @@
         };
         self.slot.set_end(if shed { RunEnd::Overloaded } else { RunEnd::Answered });
         if !shed {
-            self.state.crashes.borrow_mut().completed(self.meta.fingerprint);
+            self.state.crashes.borrow_mut().record_completion(self.meta.fingerprint);
         }
         self.state.metrics.count_answer(if shed { "not-run" } else { "answered" }, "");
         self.report_outcome(kind);
--- a/crates/sycamore-node/src/config/accept.rs
+++ b/crates/sycamore-node/src/config/accept.rs
@@ -14,7 +14,7 @@
 use sycamore_platform::{propose, Error, Objects, Proposal, Row, Settled, Table};
 use sycamore_types::prelude::*;
 
-/// Attempts at one platform request before the command fails.
+/// Number of attempts at one platform request before the command fails.
 const MAX_ATTEMPTS: u32 = 4;
 
 /// Body of the command `config-apply`.
@@ -169,7 +169,7 @@
             Ok(answer) => return Ok(answer),
             Err(report) => report,
         };
-        let delay = backoff.fail();
+        let delay = backoff.record_failure();
         if backoff.failures() >= MAX_ATTEMPTS {
             return Err(report);
         }
--- a/crates/sycamore-node/src/config/driver.rs
+++ b/crates/sycamore-node/src/config/driver.rs
@@ -19,7 +19,7 @@
 
 /// Capacity of the fetch queue. The state machine has one fetch open for each head it follows.
 const FETCH_QUEUE: usize = 16;
-/// Rejected heads kept for the query `config`; the oldest is dropped first.
+/// Maximum number of rejected heads kept for the query `config`; the oldest is dropped first.
 const MAX_REJECTED: usize = 8;
 
 /// Longest time a configuration takes from the platform's row to a node that watches it: 1 MB over
@@ -146,13 +146,13 @@
         self.peer_miss.set(Some(head));
     }
 
-    /// Whether the latest recorded peer miss was for `head`.
+    /// Returns whether the latest recorded peer miss was for `head`.
     pub(super) fn has_peer_miss(&self, head: ConfigHead) -> bool {
         self.peer_miss.get() == Some(head)
     }
 
-    /// Version floor, the lowest version that this node may serve; `None` until it is known, and
-    /// the node serves nothing before.
+    /// Returns the version floor, the lowest version that this node may serve; `None` until it is
+    /// known, and the node serves nothing before then.
     pub(super) fn floor(&self) -> Option<ConfigVersion> {
         self.floor.borrow().known()
     }
@@ -174,7 +174,7 @@
                 self.queue_fetch(Fetch { head, source, hashes });
             }
             Action::Apply(snapshot) => {
-                self.metrics.applied(snapshot.version, self.hub.clock.wall());
+                self.metrics.record_applied(snapshot.version, self.hub.clock.wall());
                 self.hub.publish_snapshot(snapshot);
             }
             Action::Reject { head, reason } => self.reject(head, &reason),
@@ -191,8 +191,9 @@
 
     fn reject(&self, head: ConfigHead, reason: &RejectReason) {
         let reason = reason.to_string();
-        warn!(self.hub.log, "configuration rejected"; "version" => head.version.0, "reason" => &reason);
-        self.metrics.rejected();
+        warn!(self.hub.log, "configuration rejected"; "version" => head.version.0,
+            "reason" => &reason);
+        self.metrics.count_rejected();
         let mut rejected = self.rejected.borrow_mut();
         rejected.retain(|earlier| earlier.head != head);
         rejected.push_back(Rejected { head, reason: reason.clone() });
--- a/crates/sycamore-node/src/config/follow.rs
+++ b/crates/sycamore-node/src/config/follow.rs
@@ -47,15 +47,15 @@
             }
             Err(report) => {
                 watch.record_failure(report.current_context());
-                monoio::time::sleep(backoff.fail()).await;
+                monoio::time::sleep(backoff.record_failure()).await;
             }
         }
-        driver.metrics.platform(driver.platform.http().traffic());
+        driver.metrics.copy_platform_traffic(driver.platform.http().traffic());
     }
 }
 
-/// Whether this node watches operators' rows. In a small fleet every node does, in a larger one
-/// those with the lowest hashes of their instance names; a node without a version floor always
+/// Returns whether this node watches operators' rows. In a small fleet every node does, in a larger
+/// one those with the lowest hashes of their instance names; a node without a version floor always
 /// does.
 fn is_watcher(driver: &Driver) -> bool {
     let watchers = driver.hub.settings.config.watchers as usize;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Highest configuration version that this node has raised or learnt from peers.
+    /// Returns the highest configuration version that this node has raised or learnt from peers.
     fn highest_spread_version(&self) -> Option<ConfigVersion> {
         match self.driver.hub.facts.known().get(&FactKey::Head) {
             Some(Fact::Head(head)) => Some(head.version),
@@ -144,7 +144,7 @@
                 let why: Vec<String> = faults.iter().map(ToString::to_string).collect();
                 warn!(driver.hub.log, "operator configuration rejected"; "version" => version.0,
                     "faults" => why.join("; "));
-                driver.metrics.rejected();
+                driver.metrics.count_rejected();
             }
         }
     }
@@ -173,7 +173,7 @@
     }
 
     fn reject_row(&self, row: &Row, why: &str) {
-        self.driver.metrics.rejected();
+        self.driver.metrics.count_rejected();
         warn!(self.driver.hub.log, "operator row rejected"; "key" => &row.key,
             "revision" => row.revision.0, "why" => why);
     }
@@ -181,13 +181,18 @@
     fn record_failure(&self, error: &Error) {
         self.driver.watches_rows.set(false);
         let hub = &self.driver.hub;
-        hub.dependencies.lost(&hub.log, hub.clock.now(), Dependency::Platform, &error.to_string());
+        hub.dependencies.record_lost(
+            &hub.log,
+            hub.clock.now(),
+            Dependency::Platform,
+            &error.to_string(),
+        );
     }
 
     fn record_success(&self) {
         self.driver.watches_rows.set(true);
         let hub = &self.driver.hub;
-        hub.dependencies.reached(&hub.log, hub.clock.now(), Dependency::Platform);
-        self.driver.metrics.followed(hub.clock.wall());
+        hub.dependencies.record_reached(&hub.log, hub.clock.now(), Dependency::Platform);
+        self.driver.metrics.record_rows_read(hub.clock.wall());
     }
 }
--- a/crates/sycamore-node/src/edge/mod.rs
+++ b/crates/sycamore-node/src/edge/mod.rs
@@ -90,7 +90,8 @@
     Shed,
     /// The call has not run, for this reason; the node answers instead of relaying.
     NotRun(RefusalReason),
-    /// The answer belongs to another call or is not the upstream's whole answer, for this reason.
+    /// The answer belongs to another call or is not the upstream's complete answer, for this
+    /// reason.
     Foreign(&'static str),
 }
 
@@ -129,7 +130,7 @@
 pub struct Process {
     /// Upstream's own name of the process; `None` if it gives none.
     pub name: Option<String>,
-    /// Start of the process as civil time; `None` if it gives none.
+    /// Wall-clock time at which the process started; `None` if the message gives none.
     pub started: Option<WallTime>,
 }
 
--- a/crates/sycamore-node/src/hub/facts.rs
+++ b/crates/sycamore-node/src/hub/facts.rs
@@ -7,7 +7,7 @@
 use sycamore_types::prelude::*;
 use tokio::sync::watch;
 
-/// Facts kept at most; beyond it, the facts that expire first are evicted first.
+/// Maximum number of facts kept; beyond it, the facts that expire first are evicted first.
 pub const MAX_FACTS: usize = 16_384;
 
 /// Facts known to a node. Readers share immutable snapshots of the map.
@@ -30,7 +30,7 @@
 }
 
 impl Facts {
-    /// Snapshot of the facts known now.
+    /// Returns a snapshot of the facts known now.
     pub fn known(&self) -> Arc<BTreeMap<FactKey, Fact>> {
         self.known.borrow().clone()
     }
@@ -63,8 +63,8 @@
         new
     }
 
-    /// Peer from which `head` was learnt first, which is closer to where it was committed. `None`
-    /// unless `head` is the latest head learnt from a peer.
+    /// Returns the peer from which `head` was learnt first, which is closer to where it was
+    /// committed. `None` unless `head` is the latest head learnt from a peer.
     pub fn head_source(&self, head: &ConfigHead) -> Option<SocketAddr> {
         self.head_source.get().filter(|(learnt, _)| learnt == head).map(|(_, source)| source)
     }
@@ -95,7 +95,7 @@
     }
 
     /// Subscribes to the number of facts raised on this node.
-    pub fn raised(&self) -> watch::Receiver<u64> {
+    pub fn subscribe_raised(&self) -> watch::Receiver<u64> {
         self.raised.subscribe()
     }
 
--- a/crates/sycamore-node/src/moves/act.rs
+++ b/crates/sycamore-node/src/moves/act.rs
@@ -13,9 +13,10 @@
 
 /// Key prefix of members' rows.
 const MEMBER_PREFIX: &str = "member/";
-/// Members' rows read per page.
+/// Number of members' rows read per page.
 const PAGE_ROWS: usize = 500;
-/// Failed requests after which an attempt to write a row ends; a later attempt may follow.
+/// Number of failed requests after which an attempt to write a row ends; a later attempt may
+/// follow.
 const MAX_WRITE_FAILURES: u32 = 3;
 
 /// Ticks the state machine of every move and executes the resulting actions.
@@ -135,7 +136,7 @@
 async fn write_outcome_once(state: &State, key: &str, outcome: Outcome) {
     let Ok(Some(stored)) = state.platform.http().get(key).await else { return };
     let Ok(row) = serde_json::from_value::<MoveRow>(stored.value.clone()) else {
-        warn!(state.hub.log, "malformed move row"; "key" => key);
+        warn!(state.hub.log, "move row rejected"; "key" => key);
         return;
     };
     let change = Change {
--- a/crates/sycamore-node/src/moves/queries.rs
+++ b/crates/sycamore-node/src/moves/queries.rs
@@ -11,7 +11,7 @@
 
 /// Key prefix of plans' rows.
 const PLAN_PREFIX: &str = "plan/";
-/// Plans in one answer at most; further ones are left out.
+/// Maximum number of plans in one answer; further ones are left out.
 const MAX_PLANS: usize = 500;
 
 impl Moves {
@@ -83,7 +83,7 @@
     }
 }
 
-/// State of a plan by the moves in memory; moves that were forgotten count as open.
+/// Returns the state of a plan by the moves in memory; moves that were forgotten count as open.
 fn plan_state(state: &State, plan: &PlanRow) -> &'static str {
     let moves = state.moves.borrow();
     let ended = plan
--- a/crates/sycamore-node/src/moves/state.rs
+++ b/crates/sycamore-node/src/moves/state.rs
@@ -13,12 +13,13 @@
 use sycamore_moves::plan::MoveRow;
 use sycamore_types::prelude::*;
 
-/// Moves kept in memory at most; beyond it, the ended move with the oldest deadline is removed.
+/// Maximum number of moves kept in memory; beyond it, the ended move with the oldest deadline is
+/// removed.
 pub const MAX_MOVES: usize = 1_024;
-/// Shortest time after which a move no longer waits for the signature of an instance that is gone.
-const MIN_RETIRE: Duration = Duration::from_secs(5);
-/// Longest time after which a move no longer waits for the signature of an instance that is gone.
-const MAX_RETIRE: Duration = Duration::from_secs(30);
+/// Shortest time after which a move no longer waits for the confirmation of an instance that left.
+const MIN_DEPARTURE_GRACE: Duration = Duration::from_secs(5);
+/// Longest time after which a move no longer waits for the confirmation of an instance that left.
+const MAX_DEPARTURE_GRACE: Duration = Duration::from_secs(30);
 
 /// Move known to this node.
 pub struct Entry {
@@ -64,17 +65,17 @@
         }
     }
 
-    /// Current monotonic and wall time.
+    /// Returns the current monotonic and wall-clock time.
     pub fn now(&self) -> Moment {
         Moment { time: self.hub.clock.now(), wall: self.hub.clock.wall() }
     }
 
-    /// Whether `service` is the service of the local upstream.
+    /// Returns whether `service` is the service of the local upstream.
     pub fn is_own(&self, service: &ServiceName) -> bool {
         self.hub.settings.node.service == *service
     }
 
-    /// Serving instances of this node's service, and the regions of all known members.
+    /// Returns the serving instances of this node's service, and the regions of all known members.
     pub fn service_peers(&self) -> (Vec<Peer>, BTreeSet<Region>) {
         let view = self.hub.members.borrow().clone();
         let peer = |member: &Member| Peer {
@@ -88,7 +89,7 @@
         (live, regions)
     }
 
-    /// This node's own member record; `None` until it is in the membership view.
+    /// Returns this node's own member record; `None` until it is in the membership view.
     pub fn me(&self) -> Option<Member> {
         self.hub.members.borrow().members.get(&self.hub.settings.node.instance).cloned()
     }
@@ -106,7 +107,7 @@
         }
         let watch = row.schedule.steps[row.schedule.watch_step()].hold;
         let options = ControlOptions {
-            departure_grace: watch.clamp(MIN_RETIRE, MAX_RETIRE),
+            departure_grace: watch.clamp(MIN_DEPARTURE_GRACE, MAX_DEPARTURE_GRACE),
             ..ControlOptions::default()
         };
         let mv = row.spec.mv.clone();
--- a/crates/sycamore-node/src/operator/serve.rs
+++ b/crates/sycamore-node/src/operator/serve.rs
@@ -28,7 +28,7 @@
 const MAX_BODY_BYTES: usize = 4 << 20;
 /// Largest accepted request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Connections served concurrently; further ones are closed.
+/// Maximum number of connections served concurrently; further ones are closed.
 const MAX_CONNECTIONS: usize = 64;
 /// Lifetime of a connection, after which it is closed.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
@@ -76,7 +76,7 @@
             }
             Ok(_) => warn!(node.hub.log, "operator connection refused"; "limit" => MAX_CONNECTIONS),
             Err(error) => {
-                warn!(node.hub.log, "operator connection not accepted"; "error" => %error);
+                warn!(node.hub.log, "operator connection could not be accepted"; "error" => %error);
                 monoio::time::sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
@@ -97,7 +97,7 @@
         .serve_connection(MonoioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        slog::debug!(node.hub.log, "operator connection failed"; "error" => %error);
+        slog::debug!(node.hub.log, "operator connection broken"; "error" => %error);
     }
 }
 
--- a/crates/sycamore-node/src/peers/driver.rs
+++ b/crates/sycamore-node/src/peers/driver.rs
@@ -110,12 +110,12 @@
         }
     }
 
-    /// This node's own member record.
+    /// Returns this node's own member record.
     pub(super) fn me(&self) -> Member {
         self.machine.borrow().me().clone()
     }
 
-    /// Whether this node has compared its membership table with a peer's since it started.
+    /// Returns whether this node has compared its membership table with a peer's since it started.
     pub(super) fn is_synced(&self) -> bool {
         self.machine.borrow().is_synced()
     }
@@ -125,7 +125,7 @@
         read(&self.machine.borrow())
     }
 
-    /// Current monotonic and wall time.
+    /// Returns the current monotonic and wall-clock time.
     pub(super) fn now(&self) -> Now {
         Now { mono: self.hub.clock.now(), wall: self.hub.clock.wall() }
     }
@@ -133,7 +133,7 @@
     fn publish(&self) {
         let view = self.machine.borrow().view();
         self.platform.http().set_nodes(view.members.len());
-        self.metrics.members(&view);
+        self.metrics.set_members(&view);
         self.hub.members.send_replace(Arc::new(view));
     }
 
@@ -143,7 +143,7 @@
             match action {
                 Action::Send { to, packet } => {
                     if self.send.try_send((to, packet)).is_err() {
-                        self.metrics.dropped();
+                        self.metrics.count_dropped();
                     }
                 }
                 Action::Exchange { peer, to, request } => self.queue_exchange(peer, to, request),
@@ -164,7 +164,7 @@
 
     fn queue_exchange(&self, peer: InstanceId, to: SocketAddr, request: ExchangeRequest) {
         if self.exchanges.try_send((peer, to, request)).is_err() {
-            self.metrics.dropped();
+            self.metrics.count_dropped();
         }
     }
 
@@ -234,7 +234,7 @@
     Membership::new(me, options, rand::random(), now)
 }
 
-/// State of this node's member record, derived from its phase and its upstream.
+/// Returns the state of this node's member record, derived from its phase and its upstream.
 fn local_state(hub: &Hub) -> LocalState {
     let upstream = hub.upstream.borrow();
     match (hub.phase(), &*upstream) {
--- a/crates/sycamore-node/src/peers/register.rs
+++ b/crates/sycamore-node/src/peers/register.rs
@@ -16,9 +16,10 @@
 
 /// Key prefix of members' rows.
 const MEMBER_PREFIX: &str = "member/";
-/// Rows read as contacts at the start; one contact that answers is enough to join.
+/// Number of members' rows read as contacts at the start; one contact that answers is enough to
+/// join.
 const CONTACT_ROWS: usize = 16;
-/// Rows read per refresh.
+/// Number of members' rows read per refresh.
 const REFRESH_ROWS: usize = 64;
 /// Refreshes per second of the whole fleet.
 const FLEET_REFRESHES_PER_S: f64 = 2.0;
@@ -46,7 +47,7 @@
     });
 }
 
-/// Key of an instance's row.
+/// Returns the key of an instance's row.
 pub(super) fn member_key(instance: &InstanceId) -> String {
     format!("{MEMBER_PREFIX}{instance}")
 }
@@ -64,7 +65,7 @@
 {
     let mut backoff = Backoff::new(BackoffSettings::default(), rand::random());
     while !matches!(step().await, Ok(true)) {
-        monoio::time::sleep(backoff.fail()).await;
+        monoio::time::sleep(backoff.record_failure()).await;
     }
 }
 
@@ -147,7 +148,7 @@
     members.members.keys().nth(index).cloned()
 }
 
-/// Time until this node's next refresh: its part of the fleet's budget, with jitter.
+/// Returns the time until this node's next refresh: its part of the fleet's budget, with jitter.
 fn refresh_interval(driver: &Driver) -> Duration {
     let nodes = driver.hub.members.borrow().members.len() as f64;
     let interval = Duration::from_secs_f64(nodes / FLEET_REFRESHES_PER_S).max(MIN_REFRESH_INTERVAL);
--- a/crates/sycamore-node/src/timeline/mod.rs
+++ b/crates/sycamore-node/src/timeline/mod.rs
@@ -19,7 +19,7 @@
 
 /// Time between two checks of whether a batch is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Batches written at shutdown at most.
+/// Maximum number of batches of events written at shutdown.
 const MAX_FINAL_BATCHES: usize = 8;
 /// Timeout for writing the batches at shutdown, together.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -72,7 +72,7 @@
     let Ok(body) = serde_json::to_vec(&batch.events) else { return false };
     match platform.http().put(&batch.key, Bytes::from(body)).await {
         Ok(_) => {
-            hub.timeline().borrow_mut().stored(&batch.key);
+            hub.timeline().borrow_mut().record_stored(&batch.key);
             true
         }
         Err(report) => {
--- a/crates/sycamore-platform/src/settle/stamped.rs
+++ b/crates/sycamore-platform/src/settle/stamped.rs
@@ -14,13 +14,14 @@
     /// Operations before `op`, latest first, at most [`RECENT_OPS`].
     #[serde(default)]
     pub recent: Vec<OpId>,
-    /// Fields of the value itself, stored beside `op` and `recent` in the same JSON object.
+    /// Fields of the value itself, stored together with `op` and `recent` in the same JSON object.
     #[serde(flatten)]
     pub body: T,
 }
 
 impl<T> Stamped<T> {
-    /// Builds the value with which `op` replaces `base`; `None` if the row is absent.
+    /// Builds the value with which the operation `op` replaces `base`, which is `None` if the row
+    /// is absent.
     pub fn after<U>(base: Option<&Stamped<U>>, op: OpId, body: T) -> Self {
         let recent = base.map(|base| base.ops().take(RECENT_OPS).collect()).unwrap_or_default();
         Self { op, recent, body }
--- a/crates/sycamore-timeline/tests/timeline.rs
+++ b/crates/sycamore-timeline/tests/timeline.rs
@@ -5,18 +5,18 @@
 use sycamore_timeline::{gaps, merge, BatchOptions, Batcher, Cursor, Filter, Ring, Source};
 use sycamore_types::prelude::*;
 
-/// Process of the instance `name`.
+/// Returns a process of the instance `name`.
 fn source(name: &str) -> Source {
     Source { instance: InstanceId::new(name).expect("valid"), incarnation: Incarnation(1) }
 }
 
-/// Event about the move `mv`.
+/// Returns an event about the move `mv`.
 fn step(mv: &str) -> EventKind {
     let mv = MoveId::new(mv).expect("valid");
     EventKind::MoveStep { mv, share: Share::from_basis_points(500) }
 }
 
-/// Events of the instance `name`, one per wall time in milliseconds.
+/// Returns events of the instance `name`, one per wall-clock time in milliseconds.
 fn events(name: &str, walls: &[u64]) -> Vec<Event> {
     let mut ring = Ring::new(source(name), 1_000);
     walls.iter().map(|wall| ring.record(EventKind::Draining, WallTime(*wall)).clone()).collect()
@@ -86,7 +86,7 @@
     assert!(batcher.due(Time::from_secs(1), 1).is_none(), "before the interval has passed");
     batcher.push(&events("a", &[1, 2, 3])[2]);
     assert_eq!(batcher.due(Time::from_secs(2), 1), Some(first.clone()));
-    batcher.stored(&first.key);
+    batcher.record_stored(&first.key);
     assert_eq!(batcher.due(Time::from_secs(4), 1).expect("due").events[0].seq, 3);
 }
 
@@ -101,7 +101,7 @@
 fn a_batcher_drops_the_oldest_events_and_counts_them() {
     let mut batcher = batcher(BatchOptions { max_waiting: 3, ..BatchOptions::default() });
     events("a", &[1, 2, 3, 4, 5]).iter().for_each(|event| batcher.push(event));
-    assert_eq!(batcher.lost(), 2);
+    assert_eq!(batcher.dropped_events(), 2);
     assert_eq!(batcher.flush().expect("waiting").events[0].seq, 3);
 }
 
