--- a/crates/sycamore-bench/src/demo/mod.rs
+++ b/crates/sycamore-bench/src/demo/mod.rs
@@ -67,12 +67,12 @@
     let (moves, (first, second)) = join(
         run_moves,
         join(
-            run_with_upkeep(
+            run_supervised(
                 &zlatna_klupa,
                 Some(&watch),
                 load_until(&zlatna_klupa, options.seed, &done),
             ),
-            run_with_upkeep(&sutokatha, None, load_until(&sutokatha, options.seed + 1, &done)),
+            run_supervised(&sutokatha, None, load_until(&sutokatha, options.seed + 1, &done)),
         ),
     )
     .await;
@@ -117,24 +117,24 @@
     Ok(load::run_until(&load, || done.get()).await)
 }
 
-/// Runs `work` with the upkeep of `fleet`, and with `watch` if given, until `work` ends.
-async fn run_with_upkeep<T>(
+/// Runs `work` with the supervision of `fleet`, and with `watch` if given, until `work` ends.
+async fn run_supervised<T>(
     fleet: &Fleet,
     watch: Option<&ConfigWatch>,
     work: impl std::future::Future<Output = Result<T>>,
 ) -> Result<T> {
-    let upkeep = async {
+    let supervision = async {
         match watch {
             Some(watch) => {
-                join(fleet.tend(), watch.run(fleet)).await;
+                join(fleet.supervise(), watch.run(fleet)).await;
             }
-            None => fleet.tend().await,
+            None => fleet.supervise().await,
         }
     };
-    match select(pin!(work), pin!(upkeep)).await {
+    match select(pin!(work), pin!(supervision)).await {
         Either::Left((result, _)) => result,
         Either::Right(_) => Err(Report::new(BenchError::Unmet(
-            "the fleet upkeep ended before the demonstration did".into(),
+            "the fleet supervision ended before the demonstration did".into(),
         ))),
     }
 }
--- a/crates/sycamore-bench/src/demo/moves.rs
+++ b/crates/sycamore-bench/src/demo/moves.rs
@@ -92,10 +92,10 @@
     /// and on the new version.
     pub fn runs(mv: &Move, ledger: &Ledger) -> (usize, usize) {
         let start = mv.report["start"].as_u64().unwrap_or(0) * 1_000;
-        let all = ledger.sightings().iter().filter(|s| {
+        let all = ledger.events().iter().filter(|s| {
             s.service == mv.service
                 && s.at_us >= start
-                && s.kind == crate::witness::SightingKind::Start
+                && s.kind == crate::witness::UpstreamEventKind::Start
         });
         let new = ledger.runs_of_version(mv.service, NEW_VERSION).filter(|r| r.at_us >= start);
         (all.count(), new.count())
--- a/crates/sycamore-bench/src/fleet/faults.rs
+++ b/crates/sycamore-bench/src/fleet/faults.rs
@@ -17,7 +17,7 @@
         })
     }
 
-    /// Kills the upstream of `instance` with SIGKILL and waits for its end; [`Fleet::tend`] doesn't
+    /// Kills the upstream of `instance` with SIGKILL and waits for its end; [`Fleet::supervise`] doesn't
     /// restart it.
     ///
     /// # Errors
@@ -39,7 +39,7 @@
         self.with_instance(instance, |entry| process(&entry.node)?.signal(signal))
     }
 
-    /// Sends `signal` to the upstream of `instance`; [`Fleet::tend`] doesn't restart it from then on.
+    /// Sends `signal` to the upstream of `instance`; [`Fleet::supervise`] doesn't restart it from then on.
     ///
     /// # Errors
     /// [`BenchError::Option`] if there is no such instance or its upstream was not started,
--- a/crates/sycamore-bench/src/fleet/instance.rs
+++ b/crates/sycamore-bench/src/fleet/instance.rs
@@ -43,7 +43,7 @@
     /// Process of its upstream; `None` before the start, after a kill, and in fleets with
     /// [`super::Upstreams::Announced`].
     pub upstream: Option<Process>,
-    /// Whether [`super::Fleet::tend`] restarts the upstream when it crashes.
+    /// Whether [`super::Fleet::supervise`] restarts the upstream when it crashes.
     pub respawn: bool,
     /// Lead of the node's wall clock, from its next start on.
     pub clock_ahead: Duration,
--- a/crates/sycamore-bench/src/fleet/options.rs
+++ b/crates/sycamore-bench/src/fleet/options.rs
@@ -9,7 +9,7 @@
 pub enum Upstreams {
     /// Each upstream is a process.
     Processes,
-    /// No upstream runs; [`super::Fleet::tend`] announces them to their nodes. Calls can't be answered,
+    /// No upstream runs; [`super::Fleet::supervise`] announces them to their nodes. Calls can't be answered,
     /// so this is for measurements of control traffic only.
     Announced,
 }
--- a/crates/sycamore-bench/src/fleet/start.rs
+++ b/crates/sycamore-bench/src/fleet/start.rs
@@ -54,7 +54,7 @@
             fleet.wait_ready().await?;
             fleet.wait_members().await
         };
-        match select(pin!(complete), pin!(fleet.tend())).await {
+        match select(pin!(complete), pin!(fleet.supervise())).await {
             Either::Left((complete, _)) => complete?,
             Either::Right(_) => {}
         }
--- a/crates/sycamore-bench/src/fleet/wait.rs
+++ b/crates/sycamore-bench/src/fleet/wait.rs
@@ -99,7 +99,7 @@
 
     /// Restarts crashed upstreams, and announces the upstreams of fleets with [`Upstreams::Announced`],
     /// until the future is dropped. It must run concurrently with every load and wait.
-    pub async fn tend(&self) {
+    pub async fn supervise(&self) {
         loop {
             for instance in self.names() {
                 let crashed = self.with_instance(&instance, |entry| {
--- a/crates/sycamore-bench/src/measure/calls.rs
+++ b/crates/sycamore-bench/src/measure/calls.rs
@@ -16,7 +16,7 @@
 /// Rate of the direct calls that bypass the nodes, as a fraction of the mixed load's rate.
 const DIRECT_PART: f64 = 0.25;
 /// Time that a node stays stopped by SIGSTOP for the `freeze` fault.
-const FROZEN: Duration = Duration::from_secs(2);
+const PAUSE_TIME: Duration = Duration::from_secs(2);
 /// Wait before the load, with [`SETTINGS`]: until `key_memory` and `view_lag` have passed, nodes
 /// can't know of earlier runs and answer calls with idempotency keys as perhaps run.
 const SETTLE: Duration = Duration::from_secs(4);
@@ -106,10 +106,10 @@
         futures::join!(loads.0, loads.1, loads.2, faults)
     };
     let Either::Left(((mixed, direct, proxied, faulted), _)) =
-        select(pin!(loads), pin!(fleet.tend())).await
+        select(pin!(loads), pin!(fleet.supervise())).await
     else {
         return Err(Report::new(BenchError::Unmet(
-            "the fleet upkeep ended before the load did".into(),
+            "the fleet supervision ended before the load did".into(),
         )));
     };
     faulted?;
@@ -205,7 +205,7 @@
             }
             "freeze" => {
                 fleet.signal_node(victim, Signal::SIGSTOP)?;
-                monoio::time::sleep(FROZEN).await;
+                monoio::time::sleep(PAUSE_TIME).await;
                 fleet.signal_node(victim, Signal::SIGCONT)?;
             }
             other => {
--- a/crates/sycamore-bench/src/measure/converge/run.rs
+++ b/crates/sycamore-bench/src/measure/converge/run.rs
@@ -40,7 +40,7 @@
         ..FleetOptions::default()
     })
     .await?;
-    let report = match select(pin!(measure(options, &fleet)), pin!(fleet.tend())).await {
+    let report = match select(pin!(measure(options, &fleet)), pin!(fleet.supervise())).await {
         Either::Left((report, _)) => report?,
         Either::Right(_) => Report::new(options, Vec::new()),
     };
@@ -126,13 +126,13 @@
         let herd = self.draw_herd(&names);
         let rest: Vec<String> = names.into_iter().filter(|name| !herd.contains(name)).collect();
         let Some(at) = rest.choose(&mut self.rng).cloned() else { return Ok(()) };
-        let frozen = self.draw_frozen(&rest, &at);
+        let paused = self.draw_paused(&rest, &at);
         if self.has_fault(Fault::LostAnswer) {
             // Loses the answers to the object's put, which the node repeats, and to the head's
             // write, which the node reads back.
             self.control(Control { lost_answers: Some(2), ..Control::default() }).await?;
         }
-        if let Some(name) = &frozen {
+        if let Some(name) = &paused {
             self.fleet.signal_node(name, Signal::SIGSTOP)?;
         }
         for name in &herd {
@@ -145,7 +145,7 @@
             self.control(Control { outage_ms, ..Control::default() }).await?;
         }
         let responsive: Vec<String> =
-            rest.iter().filter(|n| Some(*n) != frozen.as_ref()).cloned().collect();
+            rest.iter().filter(|n| Some(*n) != paused.as_ref()).cloned().collect();
         let (applied, restarts) = join(
             observe::wait_until_applied(self.fleet, &responsive, version),
             restart_killed(self.fleet, &herd, version),
@@ -153,7 +153,7 @@
         .await;
         self.record_times(sent, &responsive, &applied);
         self.restarts.extend(restarts?);
-        if let Some(name) = frozen {
+        if let Some(name) = paused {
             let resumed = wall_ms();
             self.fleet.signal_node(&name, Signal::SIGCONT)?;
             let applied =
@@ -178,7 +178,7 @@
     }
 
     /// Draws the node that the `freeze` fault stops, other than `not`; `None` without the fault.
-    fn draw_frozen(&mut self, names: &[String], not: &str) -> Option<String> {
+    fn draw_paused(&mut self, names: &[String], not: &str) -> Option<String> {
         if !self.has_fault(Fault::Freeze) {
             return None;
         }
--- a/crates/sycamore-bench/src/measure/members/fault.rs
+++ b/crates/sycamore-bench/src/measure/members/fault.rs
@@ -10,7 +10,7 @@
 
 /// Shortest time that the `freeze` fault keeps a node stopped: longer than the others take to find
 /// it dead.
-const FREEZE: Duration = Duration::from_secs(15);
+const MIN_PAUSE_TIME: Duration = Duration::from_secs(15);
 /// Share of the nodes that the `herd` fault kills, in percent.
 const HERD_PERCENT: usize = 30;
 
@@ -71,7 +71,7 @@
         let gone = wait_until_all_know(fleet, left, &victims).await?;
         let (gone_p50_ms, gone_max_ms) = median_and_max_ms(start, gone);
         if self == Fault::Freeze {
-            monoio::time::sleep(FREEZE.saturating_sub(start.elapsed())).await;
+            monoio::time::sleep(MIN_PAUSE_TIME.saturating_sub(start.elapsed())).await;
         }
         let start = Instant::now();
         for victim in &victims {
--- a/crates/sycamore-bench/src/measure/members/mod.rs
+++ b/crates/sycamore-bench/src/measure/members/mod.rs
@@ -82,10 +82,10 @@
         ..Default::default()
     })
     .await?;
-    let outcome = match select(pin!(measure(&fleet, &options)), pin!(fleet.tend())).await {
+    let outcome = match select(pin!(measure(&fleet, &options)), pin!(fleet.supervise())).await {
         Either::Left((outcome, _)) => outcome,
         Either::Right(_) => Err(Report::new(BenchError::Option(
-            "the fleet upkeep ended before the measurement did".into(),
+            "the fleet supervision ended before the measurement did".into(),
         ))),
     };
     if let Ok(outcome) = &outcome {
--- a/crates/sycamore-bench/src/measure/moves/witness.rs
+++ b/crates/sycamore-bench/src/measure/moves/witness.rs
@@ -13,7 +13,7 @@
 pub struct Observer {
     collectors: BTreeMap<InstanceId, Collector>,
     ledger: Ledger,
-    judge: VerdictTests,
+    tests: VerdictTests,
     from: UpstreamVersion,
     to: UpstreamVersion,
     /// Time of the first verdict, in milliseconds; `None` before it.
@@ -33,8 +33,8 @@
         };
         let collectors =
             members.map(|member| (member.instance.clone(), collector(member))).collect();
-        let judge = VerdictTests::new(VerdictOptions::default(), Time(0));
-        Self { collectors, ledger: Ledger::default(), judge, from, to, sufficed_ms: None }
+        let tests = VerdictTests::new(VerdictOptions::default(), Time(0));
+        Self { collectors, ledger: Ledger::default(), tests, from, to, sufficed_ms: None }
     }
 
     /// Records the outcome of a call on `instance`, and the upstream's crash if there was one.
@@ -49,7 +49,7 @@
 
     /// Starts the evidence of a new step of the schedule.
     pub fn open_step(&mut self, ms: u64) {
-        self.judge.open_step(Time::from_millis(ms));
+        self.tests.open_step(Time::from_millis(ms));
     }
 
     /// Evaluates the recorded evidence, until a verdict is reached.
@@ -64,7 +64,7 @@
             }
         }
         let (new, old) = (self.ledger.totals(&self.to), self.ledger.totals(&self.from));
-        if self.judge.evaluate(time, new, old).is_some() {
+        if self.tests.evaluate(time, new, old).is_some() {
             self.sufficed_ms = Some(ms);
         }
     }
--- a/crates/sycamore-bench/src/measure/path.rs
+++ b/crates/sycamore-bench/src/measure/path.rs
@@ -70,7 +70,7 @@
         kinds,
         ..Default::default()
     };
-    let tally = match select(pin!(load::run(&load)), pin!(fleet.tend())).await {
+    let tally = match select(pin!(load::run(&load)), pin!(fleet.supervise())).await {
         Either::Left((tally, _)) => tally,
         Either::Right(_) => load::Tally::default(),
     };
--- a/crates/sycamore-bench/src/soak/mod.rs
+++ b/crates/sycamore-bench/src/soak/mod.rs
@@ -5,7 +5,7 @@
 mod promises;
 pub mod schedule;
 
-pub use promises::{Breach, Invariants};
+pub use promises::{Invariants, Violation};
 
 use crate::fleet::{
     ConfigWatch, Deployment, Fleet, Options as FleetOptions, ServiceSpec, KEY_MEMORY,
@@ -69,7 +69,8 @@
     /// Number of calls per [`Ended`] variant, keyed by the variant's name.
     pub calls: BTreeMap<String, usize>,
     /// Violated invariants with the observations that show them.
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
     /// Directory with settings and logs; deleted if no invariant was violated.
     pub logs: String,
 }
@@ -84,7 +85,7 @@
     for seed in options.seed..options.seed + options.seeds {
         let outcome = play(seed, Duration::from_secs(options.seconds)).await?;
         print(&outcome);
-        if !outcome.breaches.is_empty() {
+        if !outcome.violations.is_empty() {
             violated.push(seed);
         }
     }
@@ -107,8 +108,8 @@
     // answer calls with an idempotency key as unknown.
     let key_warmup = KEY_MEMORY + sycamore_settings::calls::Calls::default().view_lag;
     let warmup = monoio::time::sleep(key_warmup);
-    if let Either::Right(_) = select(pin!(warmup), pin!(fleet.tend())).await {
-        unreachable!("Fleet::tend never returns");
+    if let Either::Right(_) = select(pin!(warmup), pin!(fleet.supervise())).await {
+        unreachable!("Fleet::supervise never returns");
     }
     let invariants = Invariants::default();
     let events = schedule::plan(seed, time, &fleet.names());
@@ -131,7 +132,7 @@
             invariants.check_configs(&watch.violations());
         }
     };
-    let background = join(join(fleet.tend(), watch.run(&fleet)), checks);
+    let background = join(join(fleet.supervise(), watch.run(&fleet)), checks);
     let run = async {
         let (_, played) = join(calls, play_all).await;
         played?;
@@ -142,11 +143,11 @@
     }
     invariants.check_calls(&fleet.witness().ledger().await);
     invariants.check_configs(&watch.violations());
-    let breaches = invariants.breaches();
+    let violations = invariants.violations();
     let logs = fleet.dir().display().to_string();
     let outcome =
-        Outcome { seed, events: events.len(), calls: invariants.call_counts(), breaches, logs };
-    match outcome.breaches.is_empty() {
+        Outcome { seed, events: events.len(), calls: invariants.call_counts(), violations, logs };
+    match outcome.violations.is_empty() {
         true => fleet.stop().await,
         false => fleet.stop_and_keep().await,
     }
@@ -170,7 +171,7 @@
         fleet.wait_for("the newest configuration on every node", at_newest).await
     };
     if let Err(report) = recovered.await {
-        invariants.add_breach("not as before", report.current_context().to_string());
+        invariants.add_violation("not as before", report.current_context().to_string());
     }
     eprintln!("wait for recovery ended after {:.1} s", start.elapsed().as_secs_f64());
     for round in 1.. {
@@ -187,7 +188,7 @@
         eprintln!("{} calls failed in the load that ended after {elapsed:.1} s", failed.len());
         if start.elapsed() > RECOVERY_LIMIT {
             for record in failed {
-                invariants.add_breach("call failed after all was over", format!("{record:?}"));
+                invariants.add_violation("call failed after all was over", format!("{record:?}"));
             }
             break;
         }
--- a/crates/sycamore-bench/src/soak/play.rs
+++ b/crates/sycamore-bench/src/soak/play.rs
@@ -154,7 +154,7 @@
         while is_running() {
             if ran > SHUTDOWN_LIMIT {
                 let seen = format!("{instance}, process {pid}");
-                return self.invariants.add_breach("node outlives its grace", seen);
+                return self.invariants.add_violation("node outlives its grace", seen);
             }
             monoio::time::sleep(POLL_INTERVAL).await;
             if !is_paused(pid) {
--- a/crates/sycamore-bench/src/soak/promises.rs
+++ b/crates/sycamore-bench/src/soak/promises.rs
@@ -21,7 +21,7 @@
 const IN_PROGRESS: &str = "in-progress";
 
 /// Violated invariant: its name, and the observation that shows it.
-pub type Breach = (&'static str, String);
+pub type Violation = (&'static str, String);
 
 /// Period in which a fault affects the callers of one address.
 #[derive(Debug, Clone, Copy)]
@@ -40,7 +40,7 @@
 pub struct Invariants {
     records: RefCell<HashMap<String, Vec<Record>>>,
     windows: RefCell<BTreeMap<SocketAddr, Vec<Window>>>,
-    breaches: RefCell<BTreeSet<Breach>>,
+    violations: RefCell<BTreeSet<Violation>>,
 }
 
 impl Invariants {
@@ -73,8 +73,8 @@
     }
 
     /// Records a violation of the invariant `name`, shown by `seen`.
-    pub fn add_breach(&self, name: &'static str, seen: String) {
-        self.breaches.borrow_mut().insert((name, seen));
+    pub fn add_violation(&self, name: &'static str, seen: String) {
+        self.violations.borrow_mut().insert((name, seen));
     }
 
     /// Checks all calls recorded so far against the runs that upstreams reported.
@@ -83,12 +83,15 @@
         for (token, records) in self.records.borrow().iter() {
             let ran = runs.get(token.as_str()).map_or(0, Vec::len);
             if ran > 1 && !records[0].idempotent {
-                self.add_breach("ran twice", format!("{token}: {records:?}, {:?}", runs[&**token]));
+                self.add_violation(
+                    "ran twice",
+                    format!("{token}: {records:?}, {:?}", runs[&**token]),
+                );
             }
             // While a second sending has no answer yet, it may be the one that ran.
             let all_ended = records.len() == records[0].sendings;
             if ran > 0 && all_ended && records.iter().all(is_refused_as_not_run) {
-                self.add_breach("not run, and ran", format!("{token}: {records:?}"));
+                self.add_violation("not run, and ran", format!("{token}: {records:?}"));
             }
             for record in records {
                 self.check_answer(record);
@@ -96,19 +99,19 @@
         }
         let late = ledger.runs_after_drain(DRAIN_ALLOWED_US);
         if late > 0 {
-            self.add_breach("work after leaving", format!("{late} runs"));
+            self.add_violation("work after leaving", format!("{late} runs"));
         }
     }
 
     fn check_answer(&self, record: &Record) {
         match record.ended {
-            Ended::Wrong => self.add_breach("another's answer", format!("{record:?}")),
-            Ended::Short => self.add_breach("answer not whole", format!("{record:?}")),
+            Ended::Wrong => self.add_violation("another's answer", format!("{record:?}")),
+            Ended::Short => self.add_violation("answer not whole", format!("{record:?}")),
             _ => {}
         }
         let late = record.latency > CALL_TIMEOUT + ANSWER_SLACK;
         if late && !self.was_disturbed(record) {
-            self.add_breach("answer late", format!("{record:?}"));
+            self.add_violation("answer late", format!("{record:?}"));
         }
     }
 
@@ -121,14 +124,14 @@
         ];
         for (name, count) in counts {
             if count > 0 {
-                self.add_breach(name, format!("{count} times"));
+                self.add_violation(name, format!("{count} times"));
             }
         }
     }
 
     /// Returns the violations recorded so far, sorted by name.
-    pub fn breaches(&self) -> Vec<Breach> {
-        self.breaches.borrow().iter().cloned().collect()
+    pub fn violations(&self) -> Vec<Violation> {
+        self.violations.borrow().iter().cloned().collect()
     }
 
     /// Returns the number of recorded calls per [`Ended`] variant, keyed by the variant's name.
--- a/crates/sycamore-bench/src/stand_in/upstream/serve.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/serve.rs
@@ -6,7 +6,7 @@
 use super::probes::{Load, Probes};
 use super::{checksum, fill, headers, Options, Slots};
 use crate::http::{self as bench_http, text, Answer, Break, Client, Listener, Reply, ServeOptions};
-use crate::witness::{Reporter, SightingKind};
+use crate::witness::{Reporter, UpstreamEventKind};
 use crate::{BenchError, Result};
 use bytes::Bytes;
 use error_stack::ResultExt;
@@ -107,7 +107,7 @@
 
     /// Announces the upstream until SIGTERM, then drains it; returns when the process may exit.
     async fn announce_and_drain(&self, term: &AtomicBool) {
-        let first = || self.reporter.report(SightingKind::Up, "", "");
+        let first = || self.reporter.report(UpstreamEventKind::Up, "", "");
         let announcing = async {
             match self.options.node {
                 Some(node) => announce::announce(&self.options, node, first).await,
@@ -119,7 +119,7 @@
         if let Some(node) = self.options.node {
             announce::drain(node).await;
         }
-        self.reporter.report(SightingKind::Drain, "", "");
+        self.reporter.report(UpstreamEventKind::Drain, "", "");
         self.wait_until_idle().await;
     }
 
@@ -179,7 +179,7 @@
             None => return Ok(shed("deadline")),
             Some(Err(_)) => {
                 let token = header(&head.headers, headers::TOKEN).unwrap_or_default();
-                self.reporter.report(SightingKind::Shed, token, head.uri.path());
+                self.reporter.report(UpstreamEventKind::Shed, token, head.uri.path());
                 return Ok(shed("overloaded"));
             }
             Some(Ok(slot)) => slot,
@@ -198,7 +198,7 @@
     ) -> Reply {
         let token = header(&head.headers, headers::TOKEN).unwrap_or_default();
         let path = head.uri.path();
-        self.reporter.report(SightingKind::Start, token, path);
+        self.reporter.report(UpstreamEventKind::Start, token, path);
         let run = Running { reporter: &self.reporter, token, path, ended: Cell::new(false) };
         let (result, work) = self.draw_run(head);
         if result == RequestResult::Crash || head.headers.contains_key(headers::CRASH) {
@@ -220,7 +220,7 @@
             Some(NestedCall::Ok) => self.success(&head.headers, token),
         };
         run.ended.set(true);
-        self.reporter.report(SightingKind::End, token, path);
+        self.reporter.report(UpstreamEventKind::End, token, path);
         Ok(self.add_headers(answer, token, body))
     }
 
@@ -301,7 +301,7 @@
 impl Drop for Running<'_> {
     fn drop(&mut self) {
         if !self.ended.get() {
-            self.reporter.report(SightingKind::Cancel, self.token, self.path);
+            self.reporter.report(UpstreamEventKind::Cancel, self.token, self.path);
         }
     }
 }
--- a/crates/sycamore-bench/src/witness/ledger.rs
+++ b/crates/sycamore-bench/src/witness/ledger.rs
@@ -1,6 +1,6 @@
 //! Queries over the reports that a witness collected.
 
-use super::{Sighting, SightingKind};
+use super::{UpstreamEvent, UpstreamEventKind};
 use std::collections::HashMap;
 
 /// Run of a request on an upstream.
@@ -19,32 +19,32 @@
 /// Reports that a witness has collected.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
-    sightings: Vec<Sighting>,
+    events: Vec<UpstreamEvent>,
 }
 
 impl Ledger {
-    /// Creates a ledger of `sightings`, which are in order of arrival.
-    pub fn new(sightings: Vec<Sighting>) -> Self {
-        Self { sightings }
+    /// Creates a ledger of `events`, which are in order of arrival.
+    pub fn new(events: Vec<UpstreamEvent>) -> Self {
+        Self { events }
     }
 
     /// Returns all reports in order of arrival.
-    pub fn sightings(&self) -> &[Sighting] {
-        &self.sightings
+    pub fn events(&self) -> &[UpstreamEvent] {
+        &self.events
     }
 
     /// Returns the runs of each request, keyed by the request's token.
     pub fn runs(&self) -> HashMap<&str, Vec<Run>> {
         let mut runs: HashMap<&str, Vec<Run>> = HashMap::new();
-        for sighting in self.starts() {
-            runs.entry(sighting.token.as_str()).or_default().push(run(sighting));
+        for event in self.starts() {
+            runs.entry(event.token.as_str()).or_default().push(run(event));
         }
         runs
     }
 
     /// Returns the runs that began on `instance`.
     pub fn runs_on<'a>(&'a self, instance: &'a str) -> impl Iterator<Item = Run> + 'a {
-        self.starts().filter(move |sighting| sighting.instance == instance).map(run)
+        self.starts().filter(move |event| event.instance == instance).map(run)
     }
 
     /// Returns the runs that began on upstreams of `service` with `version`.
@@ -61,41 +61,41 @@
     pub fn runs_after_drain(&self, allowed_us: u64) -> usize {
         let mut drains: HashMap<&str, u64> = HashMap::new();
         let mut late = 0;
-        for sighting in &self.sightings {
-            let instance = sighting.instance.as_str();
-            match sighting.kind {
-                SightingKind::Drain => {
-                    drains.insert(instance, sighting.at_us);
+        for event in &self.events {
+            let instance = event.instance.as_str();
+            match event.kind {
+                UpstreamEventKind::Drain => {
+                    drains.insert(instance, event.at_us);
                 }
                 // A restarted upstream accepts requests again.
-                SightingKind::Up => {
+                UpstreamEventKind::Up => {
                     drains.remove(instance);
                 }
-                SightingKind::Start => {
+                UpstreamEventKind::Start => {
                     let drain = drains.get(instance).copied().unwrap_or(u64::MAX);
-                    late += usize::from(sighting.at_us > drain.saturating_add(allowed_us));
+                    late += usize::from(event.at_us > drain.saturating_add(allowed_us));
                 }
-                SightingKind::End | SightingKind::Cancel | SightingKind::Shed => {}
+                UpstreamEventKind::End | UpstreamEventKind::Cancel | UpstreamEventKind::Shed => {}
             }
         }
         late
     }
 
     /// Counts the reports of `kind`.
-    pub fn count(&self, kind: SightingKind) -> usize {
-        self.sightings.iter().filter(|sighting| sighting.kind == kind).count()
+    pub fn count(&self, kind: UpstreamEventKind) -> usize {
+        self.events.iter().filter(|event| event.kind == kind).count()
     }
 
-    fn starts(&self) -> impl Iterator<Item = &Sighting> {
-        self.sightings.iter().filter(|sighting| sighting.kind == SightingKind::Start)
+    fn starts(&self) -> impl Iterator<Item = &UpstreamEvent> {
+        self.events.iter().filter(|event| event.kind == UpstreamEventKind::Start)
     }
 }
 
-fn run(sighting: &Sighting) -> Run {
+fn run(event: &UpstreamEvent) -> Run {
     Run {
-        at_us: sighting.at_us,
-        instance: sighting.instance.clone(),
-        service: sighting.service.clone(),
-        version: sighting.version.clone(),
+        at_us: event.at_us,
+        instance: event.instance.clone(),
+        service: event.service.clone(),
+        version: event.version.clone(),
     }
 }
--- a/crates/sycamore-bench/src/witness/listen.rs
+++ b/crates/sycamore-bench/src/witness/listen.rs
@@ -1,6 +1,6 @@
 //! Witness: collects the reports of upstreams.
 
-use super::{Ledger, Sighting};
+use super::{Ledger, UpstreamEvent};
 use crate::{BenchError, Result};
 use error_stack::ResultExt;
 use std::io::{BufRead, BufReader};
@@ -23,7 +23,7 @@
 /// doesn't delay or lose any. Dropping it ends the threads.
 pub struct Witness {
     addr: SocketAddr,
-    seen: Arc<Mutex<Vec<Sighting>>>,
+    seen: Arc<Mutex<Vec<UpstreamEvent>>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
@@ -81,7 +81,7 @@
     }
 }
 
-type Seen = Arc<Mutex<Vec<Sighting>>>;
+type Seen = Arc<Mutex<Vec<UpstreamEvent>>>;
 
 fn accept(listener: &TcpListener, seen: &Seen, stop: &Arc<AtomicBool>) {
     let mut readers = Vec::new();
@@ -112,8 +112,8 @@
             Ok(0) => return,
             // After a timeout `line` keeps the part that was read, and the next read appends.
             Ok(_) if line.ends_with(b"\n") => {
-                if let Ok(sighting) = serde_json::from_slice(&line) {
-                    seen.lock().unwrap_or_else(PoisonError::into_inner).push(sighting);
+                if let Ok(event) = serde_json::from_slice(&line) {
+                    seen.lock().unwrap_or_else(PoisonError::into_inner).push(event);
                 }
                 line.clear();
             }
--- a/crates/sycamore-bench/src/witness/mod.rs
+++ b/crates/sycamore-bench/src/witness/mod.rs
@@ -11,4 +11,4 @@
 
 pub use ledger::{Ledger, Run};
 pub use listen::Witness;
-pub use report::{now_us, Reporter, Sighting, SightingKind};
+pub use report::{now_us, Reporter, UpstreamEvent, UpstreamEventKind};
--- a/crates/sycamore-bench/src/witness/report.rs
+++ b/crates/sycamore-bench/src/witness/report.rs
@@ -11,7 +11,7 @@
 /// Kind of event that an upstream reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum SightingKind {
+pub enum UpstreamEventKind {
     /// The upstream's node accepted its first announcement.
     Up,
     /// A run of a request begins.
@@ -28,9 +28,9 @@
 
 /// Report of an event on an upstream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct UpstreamEvent {
     /// Kind of the event.
-    pub kind: SightingKind,
+    pub kind: UpstreamEventKind,
     /// Time of the event, in microseconds since the Unix epoch; all processes share the host's clock.
     pub at_us: u64,
     /// Name of the upstream's instance.
@@ -84,9 +84,9 @@
     /// Reports an event of `kind` for the request `token` at `path`; both are empty for an event of the
     /// upstream as a whole. When this returns, the kernel holds the report, and a crash of this process
     /// doesn't lose it.
-    pub fn report(&self, kind: SightingKind, token: &str, path: &str) {
+    pub fn report(&self, kind: UpstreamEventKind, token: &str, path: &str) {
         let Some(stream) = &self.stream else { return };
-        let sighting = Sighting {
+        let event = UpstreamEvent {
             kind,
             at_us: now_us(),
             instance: self.instance.clone(),
@@ -95,7 +95,7 @@
             token: token.to_owned(),
             path: path.to_owned(),
         };
-        let Ok(mut line) = serde_json::to_vec(&sighting) else { return };
+        let Ok(mut line) = serde_json::to_vec(&event) else { return };
         line.push(b'\n');
         // The witness ends with the experiment; an upstream that still runs goes on without it.
         let _ = stream.borrow_mut().write_all(&line);
--- a/crates/sycamore-bench/tests/process/faults.rs
+++ b/crates/sycamore-bench/tests/process/faults.rs
@@ -41,7 +41,7 @@
 /// Guards against calls that run twice because their node was stopped for 7 seconds, and against a
 /// resumed node that gets no more calls.
 #[test]
-fn a_frozen_node_causes_no_second_run_and_serves_after_it_resumes() {
+fn a_paused_node_causes_no_second_run_and_serves_after_it_resumes() {
     let resumed_us = std::cell::Cell::new(0);
     let outcome = run_under_load(4, &["intake-1", "intake-2", "counter-2"], async |fleet| {
         sleep(Duration::from_secs(1)).await;
@@ -78,7 +78,7 @@
 /// Guards against a second run of a call with an idempotency key: the repeat waits unread in a
 /// stopped node until the other nodes have forgotten the key.
 #[test]
-fn a_repeat_that_waited_in_a_frozen_node_beyond_key_memory_is_not_run() {
+fn a_repeat_that_waited_in_a_paused_node_beyond_key_memory_is_not_run() {
     let _permit = fleet_permit();
     let _limit = sycamore_bench::fleet::guard::limit_run(Duration::from_secs(120));
     http::run(async {
--- a/crates/sycamore-bench/tests/process/soak.rs
+++ b/crates/sycamore-bench/tests/process/soak.rs
@@ -11,11 +11,11 @@
 
 /// Guards against violations that only overlapping faults cause.
 #[test]
-fn guarantees_hold_under_overlapping_faults() {
+fn invariants_hold_under_overlapping_faults() {
     for seed in [12, 101] {
         let _permit = fleet_permit();
         let _limit = sycamore_bench::fleet::guard::limit_run(LIMIT);
         let outcome = http::run(soak::play(seed, TIME)).expect("the soak runs to its end");
-        assert!(outcome.breaches.is_empty(), "seed {seed}: {outcome:#?}");
+        assert!(outcome.violations.is_empty(), "seed {seed}: {outcome:#?}");
     }
 }
--- a/crates/sycamore-bench/tests/process/support.rs
+++ b/crates/sycamore-bench/tests/process/support.rs
@@ -108,10 +108,10 @@
         result
     };
     let work = join(load::run_until(&load, || done.get()), scenario);
-    let upkeep = join(fleet.tend(), watch.run(fleet));
-    let (tally, result) = match select(pin!(work), pin!(upkeep)).await {
+    let supervision = join(fleet.supervise(), watch.run(fleet));
+    let (tally, result) = match select(pin!(work), pin!(supervision)).await {
         Either::Left((both, _)) => both,
-        Either::Right(_) => unreachable!("the upkeep of a fleet never ends"),
+        Either::Right(_) => unreachable!("the supervision of a fleet never ends"),
     };
     result.expect("the scenario succeeds");
     let ledger = fleet.witness().ledger().await;
--- a/crates/sycamore-bench/tests/soak.rs
+++ b/crates/sycamore-bench/tests/soak.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use sycamore_bench::load::{Ended, Record};
 use sycamore_bench::soak::{schedule, Invariants};
-use sycamore_bench::witness::{Ledger, Sighting, SightingKind};
+use sycamore_bench::witness::{Ledger, UpstreamEvent, UpstreamEventKind};
 
 /// Time over which the events of a schedule are spread.
 const TIME: Duration = Duration::from_secs(20);
@@ -29,7 +29,7 @@
     for seed in 0..50 {
         let plan = schedule::plan(seed, TIME, &instances());
         overlaps += plan.windows(2).filter(|two| two[0].at + two[0].lasts > two[1].at).count();
-        let name = |deed| format!("{deed:?}").split(['(', ' ']).next().unwrap_or("").to_owned();
+        let name = |action| format!("{action:?}").split(['(', ' ']).next().unwrap_or("").to_owned();
         kinds.extend(plan.iter().map(|event| name(event.action)));
         assert!(plan.iter().all(|event| event.at + event.lasts <= TIME));
     }
@@ -60,8 +60,8 @@
 
 /// Creates a ledger in which the call of [`record`] began `times` times.
 fn ran(times: usize) -> Ledger {
-    let start = Sighting {
-        kind: SightingKind::Start,
+    let start = UpstreamEvent {
+        kind: UpstreamEventKind::Start,
         at_us: 1_000_500,
         instance: "counter-1".into(),
         service: "counter".into(),
@@ -73,26 +73,26 @@
 }
 
 /// Returns the names of the violated guarantees.
-fn names(promises: &Invariants) -> Vec<&'static str> {
-    promises.breaches().into_iter().map(|(name, _)| name).collect()
+fn names(invariants: &Invariants) -> Vec<&'static str> {
+    invariants.violations().into_iter().map(|(name, _)| name).collect()
 }
 
 /// Guards against a violation that the soak doesn't report, or reports under another name.
 #[test]
 fn each_violation_is_reported_by_name() {
-    let judged = |record: Record, ledger: &Ledger| {
-        let promises = Invariants::default();
-        promises.record_call(&record);
-        promises.check_calls(ledger);
-        names(&promises)
+    let violations_of = |record: Record, ledger: &Ledger| {
+        let invariants = Invariants::default();
+        invariants.record_call(&record);
+        invariants.check_calls(ledger);
+        names(&invariants)
     };
-    assert!(judged(record(Ended::Ok), &ran(1)).is_empty());
-    assert_eq!(judged(record(Ended::Ok), &ran(2)), ["ran twice"]);
-    assert_eq!(judged(record(Ended::Refused), &ran(1)), ["not run, and ran"]);
-    assert_eq!(judged(record(Ended::Wrong), &ran(1)), ["another's answer"]);
-    assert_eq!(judged(record(Ended::Short), &ran(1)), ["answer not whole"]);
+    assert!(violations_of(record(Ended::Ok), &ran(1)).is_empty());
+    assert_eq!(violations_of(record(Ended::Ok), &ran(2)), ["ran twice"]);
+    assert_eq!(violations_of(record(Ended::Refused), &ran(1)), ["not run, and ran"]);
+    assert_eq!(violations_of(record(Ended::Wrong), &ran(1)), ["another's answer"]);
+    assert_eq!(violations_of(record(Ended::Short), &ran(1)), ["answer not whole"]);
     let late = Record { latency: Duration::from_secs(3), ..record(Ended::Unknown) };
-    assert_eq!(judged(late, &ran(1)), ["answer late"]);
+    assert_eq!(violations_of(late, &ran(1)), ["answer late"]);
 }
 
 /// Guards against late answers that are excused by a fault which had ended before the call or began
@@ -101,31 +101,31 @@
 fn a_late_answer_is_excused_only_during_a_fault_at_its_node() {
     let late = Record { latency: Duration::from_secs(3), ..record(Ended::Unknown) };
     let addr = late.addr.expect("an address");
-    let judged = |from_us, to_us| {
-        let promises = Invariants::default();
-        promises.begin_disturbance(addr, from_us);
-        promises.end_disturbance(addr, to_us);
-        promises.record_call(&late);
-        promises.check_calls(&ran(1));
-        names(&promises)
+    let violations_of = |from_us, to_us| {
+        let invariants = Invariants::default();
+        invariants.begin_disturbance(addr, from_us);
+        invariants.end_disturbance(addr, to_us);
+        invariants.record_call(&late);
+        invariants.check_calls(&ran(1));
+        names(&invariants)
     };
-    assert!(judged(900_000, 1_100_000).is_empty());
-    assert_eq!(judged(100_000, 900_000), ["answer late"]);
-    assert_eq!(judged(5_000_000, 6_000_000), ["answer late"]);
+    assert!(violations_of(900_000, 1_100_000).is_empty());
+    assert_eq!(violations_of(100_000, 900_000), ["answer late"]);
+    assert_eq!(violations_of(5_000_000, 6_000_000), ["answer late"]);
 }
 
 /// Guards against a late answer that is excused by a silenced connection, on which no answer can
 /// arrive at all.
 #[test]
 fn a_silenced_connection_excuses_only_calls_without_an_answer() {
-    let judged = |ended| {
+    let violations_of = |ended| {
         let late = Record { latency: Duration::from_secs(3), ..record(ended) };
-        let promises = Invariants::default();
-        promises.begin_silence(late.addr.expect("an address"), 500_000);
-        promises.record_call(&late);
-        promises.check_calls(&ran(1));
-        names(&promises)
+        let invariants = Invariants::default();
+        invariants.begin_silence(late.addr.expect("an address"), 500_000);
+        invariants.record_call(&late);
+        invariants.check_calls(&ran(1));
+        names(&invariants)
     };
-    assert!(judged(Ended::TimedOut).is_empty());
-    assert_eq!(judged(Ended::Unknown), ["answer late"]);
+    assert!(violations_of(Ended::TimedOut).is_empty());
+    assert_eq!(violations_of(Ended::Unknown), ["answer late"]);
 }
--- a/crates/sycamore-bench/tests/upstream.rs
+++ b/crates/sycamore-bench/tests/upstream.rs
@@ -8,7 +8,7 @@
 use sycamore_bench::http;
 use sycamore_bench::load::{self, CallKind, Ended, Tally, Target};
 use sycamore_bench::stand_in::upstream::{self, Slots};
-use sycamore_bench::witness::{Ledger, Sighting, SightingKind, Witness};
+use sycamore_bench::witness::{Ledger, UpstreamEvent, UpstreamEventKind, Witness};
 
 fn free_addr() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -59,12 +59,12 @@
     let load = load::Options { kinds, rate: 200.0, ..load::Options::default() };
     let (tally, ledger) = load_upstream(options, load);
     assert!(tally.count(Ended::Refused) > 0, "{tally}");
-    assert_eq!(tally.count(Ended::Refused), ledger.count(SightingKind::Shed));
+    assert_eq!(tally.count(Ended::Refused), ledger.count(UpstreamEventKind::Shed));
     assert_eq!(tally.violations(&ledger).total(), 0);
 }
 
-fn sighting(kind: SightingKind, at_us: u64, token: &str) -> Sighting {
-    Sighting {
+fn event(kind: UpstreamEventKind, at_us: u64, token: &str) -> UpstreamEvent {
+    UpstreamEvent {
         kind,
         at_us,
         instance: "counter-1".into(),
@@ -84,10 +84,10 @@
     let load = load::Options { kinds, rate: 300.0, ..load::Options::default() };
     let (tally, ledger) = load_upstream(options, load);
     let ended = |ended| tally.records().iter().find(|r| r.ended == ended).unwrap().token.clone();
-    let mut sightings = ledger.sightings().to_vec();
-    sightings.push(sighting(SightingKind::Start, 1, &ended(Ended::Ok)));
-    sightings.push(sighting(SightingKind::Start, 2, &ended(Ended::Refused)));
-    let violations = tally.violations(&Ledger::new(sightings));
+    let mut events = ledger.events().to_vec();
+    events.push(event(UpstreamEventKind::Start, 1, &ended(Ended::Ok)));
+    events.push(event(UpstreamEventKind::Start, 2, &ended(Ended::Refused)));
+    let violations = tally.violations(&Ledger::new(events));
     assert_eq!((violations.ran_twice, violations.false_not_run), (1, 1));
 }
 
@@ -96,11 +96,11 @@
 #[test]
 fn runs_after_a_drain_are_counted_until_the_restart() {
     let ledger = Ledger::new(vec![
-        sighting(SightingKind::Drain, 1_000, ""),
-        sighting(SightingKind::Start, 2_000, "early"),
-        sighting(SightingKind::Start, 9_000, "late"),
-        sighting(SightingKind::Up, 10_000, ""),
-        sighting(SightingKind::Start, 20_000, "new"),
+        event(UpstreamEventKind::Drain, 1_000, ""),
+        event(UpstreamEventKind::Start, 2_000, "early"),
+        event(UpstreamEventKind::Start, 9_000, "late"),
+        event(UpstreamEventKind::Up, 10_000, ""),
+        event(UpstreamEventKind::Start, 20_000, "new"),
     ]);
     assert_eq!(ledger.runs_after_drain(3_000), 1);
 }
