--- a/crates/sycamore-bench/src/cli/mod.rs
+++ b/crates/sycamore-bench/src/cli/mod.rs
@@ -12,15 +12,15 @@
     Platform(stand_in::platform::Options),
     /// Runs an emulated upstream.
     Upstream(Box<stand_in::upstream::Options>),
-    /// Runs the demonstration.
+    /// Runs the demonstration of a good and a bad move.
     Demo(demo::Options),
-    /// Runs a measurement.
+    /// Runs one measurement and prints its result as JSON.
     Measure(measure::Command),
-    /// Runs random faults while the guarantees are checked.
+    /// Injects random faults into a fleet while the soak's invariants are checked.
     Soak(soak::Options),
 }
 
-/// Parses the command line.
+/// Returns the parser of the command line.
 pub fn options() -> OptionParser<Command> {
     let stand_in = stand_ins::parser()
         .to_options()
@@ -38,7 +38,7 @@
         .map(Command::Measure);
     let soak = soak::parser()
         .to_options()
-        .descr("Injects random faults from outside while the guarantees are checked.")
+        .descr("Injects random faults into a fleet while its invariants are checked.")
         .command("soak")
         .map(Command::Soak);
     construct!([stand_in, demo, measure, soak])
@@ -53,7 +53,7 @@
     construct!(demo::Options { seed, keep })
 }
 
-/// Parses `--seed`.
+/// Parses `--seed`, the seed of a command's random choices; 1 by default.
 pub fn seed() -> impl Parser<u64> {
     long("seed").help("Seed of all random choices").argument("N").fallback(1)
 }
@@ -62,7 +62,7 @@
 ///
 /// # Errors
 /// The command could not be carried out, the demonstration ended otherwise than expected, or the
-/// soak found violated guarantees.
+/// soak found violated invariants.
 pub fn execute(command: Command) -> Result<()> {
     match command {
         Command::Platform(options) => http::run(stand_in::platform::run(options)),
--- a/crates/sycamore-bench/src/demo/mod.rs
+++ b/crates/sycamore-bench/src/demo/mod.rs
@@ -20,7 +20,7 @@
 use std::pin::pin;
 use std::time::{Duration, Instant};
 
-/// Options of `demo`.
+/// Options of the `demo` command.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Seed of all random choices.
@@ -44,7 +44,8 @@
 /// Runs the demonstration and prints its progress and results.
 ///
 /// # Errors
-/// It could not be carried out, a move ended otherwise than expected, or a guarantee was violated.
+/// The demonstration could not be carried out, a move ended otherwise than expected, or a guarantee
+/// was violated.
 pub async fn run(options: Options) -> Result<()> {
     let _limit = guard::limit_run(LIMIT);
     let start = Instant::now();
@@ -54,8 +55,8 @@
     )
     .await?;
     print::started(&[&zlatna_klupa, &sutokatha], start.elapsed());
-    // Until then nodes can't know of earlier runs and answer calls with idempotency keys as perhaps
-    // run.
+    // Until `key_memory` and `view_lag` have passed, nodes can't know of earlier runs and answer calls
+    // with idempotency keys as perhaps run.
     monoio::time::sleep(KEY_MEMORY + SHORT_VIEW_LAG).await;
     let done = Cell::new(false);
     let watch = ConfigWatch::default();
@@ -117,7 +118,8 @@
     Ok(load::run_until(&load, || done.get()).await)
 }
 
-/// Runs `work` with the supervision of `fleet`, and with `watch` if given, until `work` ends.
+/// Runs `work` while `fleet` is supervised, and its configurations are checked by `watch` if given,
+/// until `work` ends.
 async fn run_supervised<T>(
     fleet: &Fleet,
     watch: Option<&ConfigWatch>,
--- a/crates/sycamore-bench/src/demo/moves.rs
+++ b/crates/sycamore-bench/src/demo/moves.rs
@@ -56,9 +56,9 @@
     pub service: &'static str,
     /// Defect of the new version's upstreams.
     pub badness: Badness,
-    /// State as last reported.
+    /// State of the move as last reported.
     pub ending: Ending,
-    /// Move's entry in the last report; null before the first.
+    /// Entry of the move in the last report; null before the first report.
     pub report: Value,
 }
 
--- a/crates/sycamore-bench/src/demo/print.rs
+++ b/crates/sycamore-bench/src/demo/print.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// Prints the violated guarantees and the time taken.
+/// Prints the counts of violated guarantees and the time that the demonstration took.
 pub fn end(violations: &Violations, took: Duration) {
     println!("\nguarantees violated: {}", violations.total());
     if violations.total() > 0 {
--- a/crates/sycamore-bench/src/fleet/faults.rs
+++ b/crates/sycamore-bench/src/fleet/faults.rs
@@ -29,7 +29,7 @@
         })
     }
 
-    /// Sends `signal` to the node of `instance`: SIGSTOP pauses it, SIGCONT continues it, SIGTERM
+    /// Sends `signal` to the node of `instance`: SIGSTOP pauses it, SIGCONT resumes it, SIGTERM
     /// drains it.
     ///
     /// # Errors
--- a/crates/sycamore-bench/src/fleet/front.rs
+++ b/crates/sycamore-bench/src/fleet/front.rs
@@ -42,8 +42,8 @@
         })
     }
 
-    /// Returns the proxy's address at which callers reach the node of `instance`. It is only listened at
-    /// in a fleet with [`super::Options::disturbed`].
+    /// Returns the proxy's address at which callers reach the node of `instance`. Nothing listens there in
+    /// a fleet without [`super::Options::disturbed`].
     ///
     /// # Errors
     /// [`BenchError::Option`] if there is no such instance.
--- a/crates/sycamore-bench/src/fleet/instance.rs
+++ b/crates/sycamore-bench/src/fleet/instance.rs
@@ -36,17 +36,17 @@
 pub struct Instance {
     /// Specification of the instance.
     pub spec: InstanceSpec,
-    /// Addresses at which its processes listen.
+    /// Addresses at which the instance's processes listen.
     pub addrs: Addrs,
-    /// Process of its node; `None` before the start and after a kill.
+    /// Process of the instance's node; `None` before the start and after a kill.
     pub node: Option<Process>,
-    /// Process of its upstream; `None` before the start, after a kill, and in fleets with
+    /// Process of the instance's upstream; `None` before the start, after a kill, and in fleets with
     /// [`super::Upstreams::Announced`].
     pub upstream: Option<Process>,
     /// Whether [`super::Fleet::supervise`] restarts the upstream when it crashes.
     pub respawn: bool,
-    /// Lead of the node's wall clock, from its next start on.
+    /// Time by which the node's wall clock is ahead, from the node's next start on.
     pub clock_ahead: Duration,
-    /// Proxy in front of its processes; `None` without [`super::Options::disturbed`].
+    /// Proxy in front of the instance's processes; `None` without [`super::Options::disturbed`].
     pub front: Option<Front>,
 }
--- a/crates/sycamore-bench/src/fleet/mod.rs
+++ b/crates/sycamore-bench/src/fleet/mod.rs
@@ -1,9 +1,9 @@
 //! Fleet of real processes on loopback (platform, nodes and upstreams) with fault injection.
 //!
-//! Every instance has its own loopback address and uses the ports of [`Net`], so that fleets which
+//! Every instance has its own loopback address and uses the ports listed in `net`, so that fleets which
 //! run at the same time don't conflict. With [`Options::disturbed`] a proxy stands in front of every
-//! process. It can cut a node off from all others, in one direction or both, but not two nodes from
-//! each other only.
+//! process. The proxy can block the traffic between a node and all others, in one direction or both,
+//! but not the traffic between two particular nodes.
 
 pub mod deployment;
 mod faults;
--- a/crates/sycamore-bench/src/fleet/net.rs
+++ b/crates/sycamore-bench/src/fleet/net.rs
@@ -58,7 +58,7 @@
 }
 
 impl Hop {
-    /// All hops.
+    /// All kinds of network link, in the order of the variants.
     pub const ALL: [Self; 5] =
         [Self::Caller, Self::Relay, Self::Peer, Self::Service, Self::Platform];
 }
--- a/crates/sycamore-bench/src/fleet/options.rs
+++ b/crates/sycamore-bench/src/fleet/options.rs
@@ -9,8 +9,8 @@
 pub enum Upstreams {
     /// Each upstream is a process.
     Processes,
-    /// No upstream runs; [`super::Fleet::supervise`] announces them to their nodes. Calls can't be answered,
-    /// so this is for measurements of control traffic only.
+    /// No upstream runs, but [`super::Fleet::supervise`] announces one to each node. Calls can't be
+    /// answered, so this is for measurements of control traffic only.
     Announced,
 }
 
@@ -35,7 +35,7 @@
     pub ready_limit: Duration,
     /// Whether a proxy stands in front of every process; see [`super::Fleet::link`].
     pub disturbed: bool,
-    /// Whether settings and logs are kept after the run.
+    /// Whether the fleet's settings and logs are kept after the run.
     pub keep: bool,
 }
 
--- a/crates/sycamore-bench/src/fleet/process.rs
+++ b/crates/sycamore-bench/src/fleet/process.rs
@@ -18,7 +18,7 @@
 pub struct Program {
     /// Path of the executable.
     pub path: PathBuf,
-    /// Command-line arguments.
+    /// Command-line arguments for the executable.
     pub args: Vec<String>,
 }
 
--- a/crates/sycamore-bench/src/fleet/wait.rs
+++ b/crates/sycamore-bench/src/fleet/wait.rs
@@ -1,4 +1,4 @@
-//! Waits for states of a fleet, and restarts or announces its upstreams during a run.
+//! Waits for states of a fleet, and supervises its upstreams during a run: restarts or announces them.
 
 use super::query::operator;
 use super::{Fleet, Upstreams};
@@ -64,7 +64,8 @@
     /// Waits until every running node sees every other as serving.
     ///
     /// # Errors
-    /// [`BenchError::NotReady`] if a node doesn't within [`super::Options::ready_limit`].
+    /// [`BenchError::NotReady`] if a node doesn't see all others as serving within
+    /// [`super::Options::ready_limit`].
     pub async fn wait_members(&self) -> Result<()> {
         let names = self.running();
         let complete = || async {
@@ -98,7 +99,7 @@
     }
 
     /// Restarts crashed upstreams, and announces the upstreams of fleets with [`Upstreams::Announced`],
-    /// until the future is dropped. It must run concurrently with every load and wait.
+    /// until the future is dropped. The future must run concurrently with every load and wait.
     pub async fn supervise(&self) {
         loop {
             for instance in self.names() {
--- a/crates/sycamore-bench/src/http/server.rs
+++ b/crates/sycamore-bench/src/http/server.rs
@@ -22,7 +22,7 @@
 /// Pause after a failed accept, before the next attempt.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Answer of a stand-in.
+/// HTTP answer of a stand-in, with its complete body.
 pub type Answer = Response<Full<Bytes>>;
 
 /// Error by which a handler lets the server break the connection instead of answering.
@@ -43,13 +43,13 @@
 /// Largest number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
-/// Listening TCP socket.
+/// Listening TCP socket of an HTTP server.
 pub struct Listener {
     inner: TcpListener,
 }
 
 impl Listener {
-    /// Listens on `addr`.
+    /// Opens a TCP socket that listens on `addr`; port 0 selects a free port.
     ///
     /// # Errors
     /// [`BenchError::Io`] if `addr` can't be bound, for instance because it is in use.
@@ -63,14 +63,14 @@
     /// Returns the address that the listener is bound to.
     ///
     /// # Errors
-    /// [`BenchError::Io`] if the operating system can't tell it.
+    /// [`BenchError::Io`] if the operating system can't tell the address.
     pub fn addr(&self) -> Result<SocketAddr> {
         self.inner
             .local_addr()
             .change_context_lazy(|| BenchError::Io("get the listener's address".into()))
     }
 
-    /// Accepts a connection.
+    /// Waits for a connection from a client and accepts it.
     ///
     /// # Errors
     /// [`BenchError::Io`] if the operating system reports a failure, for instance because no file
--- a/crates/sycamore-bench/src/load/generate.rs
+++ b/crates/sycamore-bench/src/load/generate.rs
@@ -12,10 +12,10 @@
 /// Selection of an address among those of a target.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Pick {
-    /// Uniformly at random.
+    /// Selects an address uniformly at random.
     #[default]
     Random,
-    /// In turn.
+    /// Selects the addresses in turn, over all calls.
     RoundRobin,
 }
 
@@ -154,7 +154,7 @@
     count: u64,
     /// Sum of the weights of all kinds.
     total_weight: u32,
-    /// Position for [`Pick::RoundRobin`].
+    /// Number of addresses selected so far with [`Pick::RoundRobin`].
     turn: Cell<usize>,
 }
 
--- a/crates/sycamore-bench/src/load/kind.rs
+++ b/crates/sycamore-bench/src/load/kind.rs
@@ -19,9 +19,9 @@
 pub struct CallKind {
     /// Relative frequency of the kind.
     pub weight: u32,
-    /// HTTP method.
+    /// HTTP method of the calls.
     pub method: Method,
-    /// Path; `{}` is replaced by the call's token.
+    /// Path of the calls; `{}` is replaced by the call's token.
     pub path: String,
     /// Size of the request's body in bytes.
     pub body: usize,
@@ -29,10 +29,10 @@
     pub answer: Option<usize>,
     /// Requested mean run time in microseconds; `None` for the upstream's own.
     pub work_us: Option<u64>,
-    /// Use of idempotency keys.
+    /// Use of idempotency keys by the calls.
     pub key: KeyUse,
-    /// Paths of nested calls: the upstream calls the first path, the upstream there the second, and
-    /// so on.
+    /// Paths of nested calls: the upstream calls the first path, the upstream reached there the second,
+    /// and so on.
     pub onward: Vec<String>,
     /// Value of the criticality header; `None` sends no such header.
     pub criticality: Option<&'static str>,
--- a/crates/sycamore-bench/src/load/tally.rs
+++ b/crates/sycamore-bench/src/load/tally.rs
@@ -23,13 +23,13 @@
 }
 
 impl Latencies {
-    /// Adds one latency.
+    /// Adds one latency to the histogram.
     pub fn add(&mut self, latency: Duration) {
         let us = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         self.0.record(us).expect("an auto-resizing histogram accepts every value");
     }
 
-    /// Returns the number of latencies.
+    /// Returns the number of latencies in the histogram.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Records and timing of a load.
+/// Records of a load's calls, and the load's duration and lag.
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
     records: Vec<Record>,
--- a/crates/sycamore-bench/src/measure/calls.rs
+++ b/crates/sycamore-bench/src/measure/calls.rs
@@ -1,5 +1,5 @@
 //! The `calls` measurement: latency that nodes add compared with direct calls of the same run, and
-//! broken guarantees to callers, with optional faults during the load.
+//! violated guarantees to callers, with optional faults during the load.
 
 use super::{mixed_call_kinds, print, Violations};
 use crate::fleet::{Deployment, Fleet, Options as FleetOptions};
@@ -15,7 +15,7 @@
 
 /// Rate of the direct calls that bypass the nodes, as a fraction of the mixed load's rate.
 const DIRECT_PART: f64 = 0.25;
-/// Time that a node stays stopped by SIGSTOP for the `freeze` fault.
+/// Time for which the `freeze` fault pauses a node with SIGSTOP.
 const PAUSE_TIME: Duration = Duration::from_secs(2);
 /// Wait before the load, with [`SETTINGS`]: until `key_memory` and `view_lag` have passed, nodes
 /// can't know of earlier runs and answer calls with idempotency keys as perhaps run.
--- a/crates/sycamore-bench/src/measure/converge/baseline.rs
+++ b/crates/sycamore-bench/src/measure/converge/baseline.rs
@@ -38,9 +38,9 @@
     times: RefCell<Vec<f64>>,
     /// Version of the latest change, and when it was made.
     changed: Cell<Option<(u64, Instant)>>,
-    /// Bytes sent and received by all nodes.
+    /// Number of bytes sent and received by all nodes.
     bytes: Cell<usize>,
-    /// Requests sent by all nodes.
+    /// Number of requests sent by all nodes.
     reads: Cell<u64>,
 }
 
--- a/crates/sycamore-bench/src/measure/converge/change.rs
+++ b/crates/sycamore-bench/src/measure/converge/change.rs
@@ -4,9 +4,9 @@
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
-/// Services in every configuration.
+/// Number of services in every configuration.
 const SERVICES: usize = 51;
-/// Routes per service.
+/// Number of routes of each service.
 const ROUTES: usize = 2;
 
 /// Returns the configuration's resources after `change` changes of one route each: 51 services,
--- a/crates/sycamore-bench/src/measure/converge/fault.rs
+++ b/crates/sycamore-bench/src/measure/converge/fault.rs
@@ -7,7 +7,7 @@
 pub enum Fault {
     /// 30% of the nodes are killed at the same time and restarted a second later.
     Herd,
-    /// One node is stopped by SIGSTOP before the change and resumed when the others have it.
+    /// One node is paused with SIGSTOP before the change and resumed when the others have it.
     Freeze,
     /// The platform is unavailable for a time, starting as soon as the change is accepted.
     PlatformOut,
--- a/crates/sycamore-bench/src/measure/converge/mod.rs
+++ b/crates/sycamore-bench/src/measure/converge/mod.rs
@@ -18,7 +18,7 @@
 /// Means by which nodes learn of a configuration change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// As the product's nodes do.
+    /// Nodes learn of a change from each other and the platform, as the product has it.
     Product,
     /// Every node polls the whole configuration from the platform.
     Baseline,
@@ -41,7 +41,7 @@
 pub struct Options {
     /// Seed of all random choices.
     pub seed: u64,
-    /// Number of nodes.
+    /// Number of nodes that must learn of each change.
     pub nodes: usize,
     /// Number of configuration changes.
     pub changes: usize,
--- a/crates/sycamore-bench/src/measure/converge/report.rs
+++ b/crates/sycamore-bench/src/measure/converge/report.rs
@@ -19,7 +19,7 @@
     p50_ms: f64,
     p99_ms: f64,
     max_ms: f64,
-    /// Pairs of a node and a change where the node applied it after [`BOUND_MS`] or never.
+    /// Number of pairs of a node and a change where the node applied it after [`BOUND_MS`] or never.
     late: usize,
     /// Time from a killed node's restart until it applied the change; absent without restarts.
     pub(super) restart_p50_ms: Option<f64>,
@@ -34,9 +34,9 @@
     pub(super) cpu_core_share_max: Option<f64>,
     pub(super) rss_mb_mean: Option<f64>,
     pub(super) rss_mb_max: Option<f64>,
-    /// Commands that were refused in a race with the winner's name.
+    /// Number of commands that were refused in a race with the winner's name.
     pub(super) race_lost: usize,
-    /// Commands that failed in a race without a winner's name, and races where no command was
+    /// Number of commands that failed in a race without a winner's name, and races where no command was
     /// accepted or two were accepted as one version.
     pub(super) race_broken: usize,
     pub(super) violations: Violations,
--- a/crates/sycamore-bench/src/measure/converge/run.rs
+++ b/crates/sycamore-bench/src/measure/converge/run.rs
@@ -48,7 +48,8 @@
     Ok(report)
 }
 
-/// Counters and resource usage of a fleet at one moment; two of them give a stretch's consumption.
+/// Counters and resource usage of a fleet at one moment; the difference of two is the consumption
+/// between them.
 struct Snapshot {
     at: Instant,
     bytes: Bytes,
@@ -77,13 +78,14 @@
     options: &'a Options,
     fleet: &'a Fleet,
     rng: SmallRng,
-    /// Milliseconds from each command, or a stopped node's resume, until a node applied the change.
+    /// Milliseconds from each command, or from the resume of a paused node, until a node applied the
+    /// change.
     times: Vec<f64>,
     /// Milliseconds from each restart until the node applied the change.
     restarts: Vec<f64>,
-    /// Commands that were refused with the winner's name.
+    /// Number of commands that were refused with the winner's name.
     race_lost: usize,
-    /// Failures of races; see [`Report::race_broken`].
+    /// Number of failures in races; see [`Report::race_broken`].
     race_broken: usize,
 }
 
@@ -177,7 +179,7 @@
         names.choose_multiple(&mut self.rng, count).cloned().collect()
     }
 
-    /// Draws the node that the `freeze` fault stops, other than `not`; `None` without the fault.
+    /// Draws the node that the `freeze` fault pauses, other than `not`; `None` without the fault.
     fn draw_paused(&mut self, names: &[String], not: &str) -> Option<String> {
         if !self.has_fault(Fault::Freeze) {
             return None;
@@ -299,8 +301,8 @@
     Ok(herd.iter().map(time).collect())
 }
 
-/// CPU time as a share of one core, for nodes whose process lived through a stretch, and memory in
-/// MiB at its end, for all nodes.
+/// CPU and memory usage of nodes between two snapshots: CPU time as a share of one core, over the nodes
+/// that ran without a restart, and memory in MiB at the second snapshot, over all nodes.
 struct UsageShares {
     cpu_mean: f64,
     cpu_max: f64,
--- a/crates/sycamore-bench/src/measure/members/fault.rs
+++ b/crates/sycamore-bench/src/measure/members/fault.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// Shortest time that the `freeze` fault keeps a node stopped: longer than the others take to find
-/// it dead.
+/// Shortest time for which the `freeze` fault pauses a node: longer than the other nodes take to
+/// consider it dead.
 const MIN_PAUSE_TIME: Duration = Duration::from_secs(15);
 /// Share of the nodes that the `herd` fault kills, in percent.
 const HERD_PERCENT: usize = 30;
@@ -23,7 +23,7 @@
     /// 30% of the nodes are killed at the same time, and restarted together when all others
     /// consider them dead.
     Herd,
-    /// One node is stopped by SIGSTOP, and resumed at least 15 seconds later.
+    /// One node is paused with SIGSTOP, and resumed at least 15 seconds later.
     Freeze,
 }
 
--- a/crates/sycamore-bench/src/measure/members/mod.rs
+++ b/crates/sycamore-bench/src/measure/members/mod.rs
@@ -19,7 +19,7 @@
 pub struct Options {
     /// Seed of all random choices.
     pub seed: u64,
-    /// Number of nodes.
+    /// Number of nodes of the fleet.
     pub nodes: usize,
     /// Seconds over which the idle fleet's traffic is measured.
     pub seconds: u64,
@@ -49,7 +49,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Wait between full membership and the measurement of idle traffic.
 const SETTLE: Duration = Duration::from_secs(8);
-/// Bytes of a mebibyte.
+/// Number of bytes in a mebibyte.
 const MIB: f64 = 1_048_576.0;
 
 /// JSON result of `measure members`.
--- a/crates/sycamore-bench/src/measure/mod.rs
+++ b/crates/sycamore-bench/src/measure/mod.rs
@@ -20,10 +20,10 @@
 /// Longest time that a measurement may run before its processes are killed.
 const LIMIT: Duration = Duration::from_secs(600);
 
-/// A measurement with its options.
+/// Measurement to run, with its options.
 #[derive(Debug, Clone)]
 pub enum Command {
-    /// Latency that nodes add to calls, and broken guarantees to callers under faults.
+    /// Latency that nodes add to calls, and violated guarantees to callers under faults.
     Calls(calls::Options),
     /// Goodput, attempts and refusal latency at a multiple of capacity.
     Overload(overload::Options),
@@ -65,7 +65,7 @@
         .map(Command::Members);
     let calls = calls::parser()
         .to_options()
-        .descr("Latency that nodes add to calls, and broken guarantees to callers, under faults.")
+        .descr("Latency that nodes add to calls, and violated guarantees to callers, under faults.")
         .command("calls")
         .map(Command::Calls);
     let overload = overload::parser()
--- a/crates/sycamore-bench/src/measure/moves/bus.rs
+++ b/crates/sycamore-bench/src/measure/moves/bus.rs
@@ -1,4 +1,4 @@
-//! Messages in flight on simulated time.
+//! Queue of the messages in flight between emulated nodes, on simulated time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/sycamore-bench/src/measure/moves/mod.rs
+++ b/crates/sycamore-bench/src/measure/moves/mod.rs
@@ -26,9 +26,10 @@
 /// Policy that raises the new version's share and decides on a move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// The product's state machines.
+    /// The product's state machines raise the share and decide by the evidence.
     Product,
-    /// Fixed steps with a threshold on the error rate; see [`baseline::Baseline`].
+    /// The share rises in fixed steps, and the error rate is compared with a threshold; see
+    /// [`baseline::Baseline`].
     Baseline,
 }
 
--- a/crates/sycamore-bench/src/measure/moves/node.rs
+++ b/crates/sycamore-bench/src/measure/moves/node.rs
@@ -24,7 +24,7 @@
     pub ends_ms: u64,
     /// Outcome that the node records at the end.
     pub outcome: CallOutcome,
-    /// The call ends by a crash of the upstream.
+    /// Whether the call ends by a crash of the upstream.
     pub crash: bool,
 }
 
@@ -45,7 +45,7 @@
     pub running: Vec<Running>,
     collector: Collector,
     last_report_ms: u64,
-    /// Calls a second, decaying exponentially, as of `load_at_ms`.
+    /// Recent load of the instance in calls a second, which decays exponentially; as of `load_at_ms`.
     load: f64,
     load_at_ms: u64,
 }
--- a/crates/sycamore-bench/src/measure/moves/scenario.rs
+++ b/crates/sycamore-bench/src/measure/moves/scenario.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Good: no disturbance.
+    /// Good: the new version has no defect, and the service is not disturbed.
     Plain,
     /// Good: calls to both versions fail at a rate of 1% to 8%.
     BadBaseline,
@@ -68,7 +68,7 @@
 /// One move with its service's traffic. Times are in milliseconds since the start of the trial.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Defect or disturbance.
+    /// Defect of the new version, or disturbance of the service.
     pub kind: Kind,
     /// Calls a second of the whole service.
     pub rate: f64,
@@ -91,7 +91,7 @@
     pub degree: f64,
     /// Start of the defect or the overload; 0 for kinds without one.
     pub onset_ms: u64,
-    /// End of the overload.
+    /// End of the overload; unused by kinds without one.
     pub offset_ms: u64,
     /// Calls a second above which an instance is slow.
     pub load_threshold: f64,
--- a/crates/sycamore-bench/src/measure/moves/summary.rs
+++ b/crates/sycamore-bench/src/measure/moves/summary.rs
@@ -11,23 +11,23 @@
 /// Counts over the trials of one scenario kind that no operator aborted.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct KindCounts {
-    /// Number of moves.
+    /// Number of moves to versions of this kind.
     pub moves: usize,
-    /// Moves done by the deadline.
+    /// Number of moves done by the deadline.
     pub done_in_time: usize,
-    /// Moves done after the deadline.
+    /// Number of moves done after the deadline.
     pub done_late: usize,
-    /// Moves taken back for another cause than the timeout.
+    /// Number of moves taken back for another cause than the timeout.
     pub bad: usize,
-    /// Moves taken back because the evidence did not suffice by the deadline.
+    /// Number of moves taken back because the evidence did not suffice by the deadline.
     pub timeout: usize,
-    /// Moves without an outcome at the end of the trial.
+    /// Number of moves without an outcome at the end of the trial.
     pub open: usize,
-    /// Calls to the services while the moves were open.
+    /// Number of calls to the services while the moves were open.
     pub calls: u64,
-    /// Calls of these that the new versions got.
+    /// Number of calls that the new versions got while the moves were open.
     pub calls_new: u64,
-    /// Calls that the new versions got later than a second after the evidence sufficed.
+    /// Number of calls that the new versions got later than a second after the evidence sufficed.
     pub after_evidence: u64,
 }
 
--- a/crates/sycamore-bench/src/measure/moves/trial/mod.rs
+++ b/crates/sycamore-bench/src/measure/moves/trial/mod.rs
@@ -29,7 +29,8 @@
 /// Time between two kills, in milliseconds.
 const KILL_INTERVAL_MS: u64 = 8_000;
 
-/// Message in flight; an index is that of the node it arrives at, or of the row's writer.
+/// Message in flight; an index is that of the node at which the message arrives, or of the node that
+/// writes the row.
 enum Message {
     Report(usize, Box<Report>),
     Fact(usize, Fact),
@@ -43,7 +44,7 @@
 pub struct Trial {
     /// Scenario of the move.
     pub kind: Kind,
-    /// Operators aborted the move.
+    /// Whether operators aborted the move.
     pub aborted: bool,
     /// Outcome of the move; `None` if none was recorded by the end of the trial.
     pub outcome: Option<Outcome>,
@@ -51,13 +52,13 @@
     pub in_time: bool,
     /// Number of outcomes written to the table.
     pub outcomes_written: usize,
-    /// Calls to the service while the move was open.
+    /// Number of calls to the service while the move was open.
     pub calls: u64,
-    /// Calls of these that the new version got.
+    /// Number of calls that the new version got while the move was open.
     pub calls_new: u64,
-    /// Calls that the new version got later than a second after the evidence sufficed.
+    /// Number of calls that the new version got later than a second after the evidence sufficed.
     pub after_evidence: u64,
-    /// Calls that an instance of the new version admitted while its node held the verdict.
+    /// Number of calls that an instance of the new version admitted while its node held the verdict.
     pub after_verdict: u64,
     /// Time from the first answer that was affected by the defect to the last call that the new
     /// version got, in milliseconds; `None` if the version was not taken back.
@@ -90,8 +91,8 @@
     faults: &'a Faults,
     rng: SmallRng,
     now: u64,
-    /// Nodes of the old version's instances, of the new version's, then those that callers speak
-    /// to.
+    /// Nodes of the old version's instances, nodes of the new version's, then the nodes that callers
+    /// send their calls to.
     nodes: Vec<Node>,
     queue: MessageQueue<Message>,
     table: Table,
@@ -101,7 +102,7 @@
     baseline: Baseline,
     /// Time at which operators abort the move; `u64::MAX` after that, `None` if they don't.
     abort_at: Option<u64>,
-    /// Calls that are still to crash an instance of the new version in [`Kind::CrashRequest`].
+    /// Number of calls that are still to crash an instance of the new version in [`Kind::CrashRequest`].
     crash_requests: usize,
     /// Number of outcome writes, from which operation identifiers are made.
     ops: u128,
@@ -113,7 +114,7 @@
     first_defect_ms: Option<u64>,
     /// Time of the last call that the new version got.
     last_new_ms: u64,
-    /// Calls that the rate has made due but that are not sent yet, as a fraction.
+    /// Number of calls, with a fraction, that are due by the rate but not sent yet.
     due_calls: f64,
 }
 
--- a/crates/sycamore-bench/src/measure/moves/upstream.rs
+++ b/crates/sycamore-bench/src/measure/moves/upstream.rs
@@ -31,15 +31,15 @@
 /// Result of a call to an emulated upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Answer {
-    /// How the call ends.
+    /// Outcome with which the call ends.
     pub kind: OutcomeKind,
     /// Time until the call ends.
     pub latency: Duration,
-    /// The upstream was in its cold start.
+    /// Whether the upstream was in its cold start.
     pub cold: bool,
-    /// The upstream crashes instead of answering.
+    /// Whether the upstream crashes instead of answering.
     pub crash: bool,
-    /// The answer is affected by the version's defect.
+    /// Whether the answer is affected by the version's defect.
     pub shows_defect: bool,
 }
 
--- a/crates/sycamore-bench/src/measure/overload.rs
+++ b/crates/sycamore-bench/src/measure/overload.rs
@@ -10,11 +10,11 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Upstreams per service.
+/// Number of upstreams of each service.
 const UPSTREAMS: usize = 2;
-/// Concurrent calls per upstream.
+/// Number of calls that each upstream runs at the same time.
 const SLOTS: u16 = 4;
-/// Mean time that a call takes at each service level, without its calls onward.
+/// Mean time that a call takes at each service level, without its nested calls.
 const WORK: Duration = Duration::from_millis(40);
 /// Timeout of each call, in milliseconds.
 const TIMEOUT_MS: u64 = 2_000;
@@ -28,12 +28,12 @@
     pub seed: u64,
     /// Offered load, as a multiple of capacity.
     pub load: f64,
-    /// Services that each call passes through, one calling the next; at least 1.
+    /// Number of services that each call passes through, one calling the next; at least 1.
     pub depth: usize,
     /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// `node`, or `baseline`: callers bypass the nodes, pick upstreams round robin and retry a
-    /// failed call up to three times.
+    /// Policy of the callers: `node` sends calls through the nodes; with `baseline` callers bypass the
+    /// nodes, pick upstreams round robin and retry a failed call up to three times.
     pub policy: String,
 }
 
--- a/crates/sycamore-bench/src/measure/path.rs
+++ b/crates/sycamore-bench/src/measure/path.rs
@@ -59,8 +59,8 @@
         ..Default::default()
     };
     let fleet = Fleet::start(fleet_options).await?;
-    // Until then nodes can't know of earlier runs and answer calls with idempotency keys as perhaps
-    // run.
+    // Until `key_memory` and `view_lag` have passed, nodes can't know of earlier runs and answer calls
+    // with idempotency keys as perhaps run.
     monoio::time::sleep(KEY_MEMORY + SHORT_VIEW_LAG).await;
     let load = load::Options {
         seed: options.seed,
--- a/crates/sycamore-bench/src/measure/violations.rs
+++ b/crates/sycamore-bench/src/measure/violations.rs
@@ -6,28 +6,29 @@
 /// Counts of violated guarantees; every count of a correct run is 0.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Violations {
-    /// Replacements of a node's configuration by an older version.
+    /// Number of times that an older version replaced a node's configuration.
     pub config_went_back: usize,
-    /// Routes in a node's configuration whose service that configuration lacks.
+    /// Number of routes in a node's configuration whose service that configuration lacks.
     pub dangling_route: usize,
-    /// Configurations applied in part, seen as different manifests of one version.
+    /// Number of configurations applied in part, seen as different manifests of one version.
     pub partial_apply: usize,
-    /// Requests that are not idempotent, or carry an idempotency key, and ran more than once.
+    /// Number of requests that ran more than once although they are not idempotent or carry an
+    /// idempotency key.
     pub ran_twice: usize,
-    /// Requests that were refused as not run, but had run.
+    /// Number of requests that were refused as not run, but had run.
     pub false_not_run: usize,
-    /// Answers that belong to another call than the caller's.
+    /// Number of answers that belong to another call than the caller's.
     pub wrong_answer: usize,
-    /// Truncated answers that looked complete, or that a graceful shutdown cut off.
+    /// Number of truncated answers that looked complete, or that a graceful shutdown cut off.
     pub cut_answer: usize,
-    /// Requests that reached a draining upstream later than the run allows.
+    /// Number of requests that reached a draining upstream later than the run allows.
     pub work_after_drain: usize,
-    /// Requests that reached a bad version later after its verdict than the run allows.
+    /// Number of requests that reached a bad version later after its verdict than the run allows.
     pub work_after_verdict: usize,
 }
 
 impl Violations {
-    /// Sums all counts.
+    /// Returns the number of violations of all kinds.
     pub fn total(&self) -> usize {
         self.config_went_back
             + self.dangling_route
--- a/crates/sycamore-bench/src/proxy/link.rs
+++ b/crates/sycamore-bench/src/proxy/link.rs
@@ -17,7 +17,7 @@
 /// Disturbance of all traffic over a link, for as long as it is set.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Traffic passes undisturbed.
+    /// No disturbance: traffic passes in both directions.
     #[default]
     None,
     /// Traffic is delayed by this much in both directions.
@@ -35,9 +35,9 @@
     fault: Mutex<Fault>,
     /// Number of connections opened so far, which is also the number of the next connection.
     opened: AtomicU64,
-    /// Bound below which connections are to be reset.
+    /// Connections with a number below this one are to be reset.
     reset: AtomicU64,
-    /// Bound below which connections stay silent for good.
+    /// Connections with a number below this one stay silent for good.
     muted: AtomicU64,
 }
 
--- a/crates/sycamore-bench/src/proxy/mod.rs
+++ b/crates/sycamore-bench/src/proxy/mod.rs
@@ -24,16 +24,16 @@
 /// Transport protocol of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Transport {
-    /// TCP connections.
+    /// TCP: each connection is forwarded over a connection to the target.
     Tcp,
-    /// UDP datagrams.
+    /// UDP: each datagram is forwarded by itself.
     Udp,
 }
 
 /// Forwarding rule of the proxy from an address to a target.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// Transport protocol.
+    /// Transport protocol of the forwarded traffic.
     pub transport: Transport,
     /// Address at which the proxy listens.
     pub listen: SocketAddr,
--- a/crates/sycamore-bench/src/soak/mod.rs
+++ b/crates/sycamore-bench/src/soak/mod.rs
@@ -43,7 +43,7 @@
 /// Options of the `soak` command.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// First seed; determines events and load.
+    /// First seed to run; each seed determines the events and the load of one run.
     pub seed: u64,
     /// Number of consecutive seeds to run, starting with [`Options::seed`].
     pub seeds: u64,
@@ -59,7 +59,7 @@
     construct!(Options { seed, seeds, seconds })
 }
 
-/// Result of a soak run with one seed, printed as JSON.
+/// Result of a soak run with one seed, printed as a line of JSON.
 #[derive(Debug, Serialize)]
 pub struct Outcome {
     /// Seed of the run.
@@ -71,7 +71,7 @@
     /// Violated invariants with the observations that show them.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
-    /// Directory with settings and logs; deleted if no invariant was violated.
+    /// Directory with the fleet's settings and logs; deleted if no invariant was violated.
     pub logs: String,
 }
 
--- a/crates/sycamore-bench/src/soak/play.rs
+++ b/crates/sycamore-bench/src/soak/play.rs
@@ -12,7 +12,8 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Time within which a node must exit after SIGTERM, as the users require.
+/// Time within which a node must exit after SIGTERM, as the users require; time while paused does
+/// not count.
 const SHUTDOWN_LIMIT: Duration = Duration::from_secs(6);
 /// Time between two checks of whether a node has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -189,7 +190,7 @@
     }
 }
 
-/// Returns whether the process `pid` is stopped by a signal, according to `/proc/{pid}/stat`.
+/// Returns whether the process `pid` is paused by a signal, according to `/proc/{pid}/stat`.
 fn is_paused(pid: i32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     // The state follows the command name, which ends with the last parenthesis of the line.
--- a/crates/sycamore-bench/src/soak/promises.rs
+++ b/crates/sycamore-bench/src/soak/promises.rs
@@ -1,4 +1,5 @@
-//! Checks the invariants promised to callers, upstreams and operators while faults are injected.
+//! Checks the soak's invariants, which are guaranteed to callers, upstreams and operators, while faults
+//! are injected.
 
 use crate::load::{Ended, Record};
 use crate::measure::Violations;
@@ -26,12 +27,12 @@
 /// Period in which a fault affects the callers of one address.
 #[derive(Debug, Clone, Copy)]
 struct Window {
-    /// Start, in microseconds since the Unix epoch.
+    /// Start of the period, in microseconds since the Unix epoch.
     from_us: u64,
-    /// End, in microseconds since the Unix epoch; `None` while the fault goes on.
+    /// End of the period, in microseconds since the Unix epoch; `None` while the fault goes on.
     to_us: Option<u64>,
-    /// The fault is connections that went silent for good: it excuses calls without an answer only,
-    /// because calls on other connections are answered.
+    /// Whether the fault made open connections silent for good. Such a fault excuses only calls without
+    /// an answer, because calls on other connections are answered.
     silent: bool,
 }
 
@@ -44,7 +45,7 @@
 }
 
 impl Invariants {
-    /// Records a call that ended.
+    /// Records a call that ended, for the next check.
     pub fn record_call(&self, record: &Record) {
         self.records.borrow_mut().entry(record.token.clone()).or_default().push(record.clone());
     }
@@ -103,6 +104,7 @@
         }
     }
 
+    /// Records a violation if the call's answer is wrong, truncated or late without an excuse.
     fn check_answer(&self, record: &Record) {
         match record.ended {
             Ended::Wrong => self.add_violation("another's answer", format!("{record:?}")),
--- a/crates/sycamore-bench/src/soak/schedule.rs
+++ b/crates/sycamore-bench/src/soak/schedule.rs
@@ -28,24 +28,24 @@
 /// Process of an instance that an event acts on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Part {
-    /// The node's process.
+    /// Process of the instance's node.
     Node,
-    /// The upstream's process.
+    /// Process of the instance's upstream.
     Upstream,
 }
 
 /// Fault or change that an event causes and, where it lasts, undoes at its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Kills the process with SIGKILL; restarts it at the end.
+    /// Kills a process with SIGKILL; restarts it at the event's end.
     Kill(Part),
-    /// Sends SIGTERM to the process; restarts it at the end, a node once it has exited.
+    /// Sends SIGTERM to a process; restarts it at the event's end, a node once it has exited.
     Stop(Part),
-    /// Pauses the process with SIGSTOP; continues it with SIGCONT at the end.
+    /// Pauses a process with SIGSTOP; resumes it with SIGCONT at the event's end.
     Pause(Part),
-    /// Kills the node with SIGKILL; restarts it at the end with its clock ahead by this much.
+    /// Kills a node with SIGKILL; restarts it at the event's end with its clock ahead by this much.
     Skew(Duration),
-    /// Disturbs a link; restores it at the end.
+    /// Disturbs a link; restores it at the event's end.
     Disturb(Hop, Fault),
     /// Resets the open connections of a link.
     Reset(Hop),
@@ -53,7 +53,7 @@
     Mute(Hop),
     /// Lets the platform answer every request with 503 for the event's duration.
     Outage,
-    /// Delays the platform's answers by this much; ends the delay at the end.
+    /// Delays the platform's answers by this much until the event's end.
     Slow(Duration),
     /// Lets the platform perform this many writes without answering them.
     LoseAnswers(u32),
@@ -61,7 +61,7 @@
     Change,
 }
 
-/// Scheduled fault or change.
+/// Scheduled fault of a fleet or change of its configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
     /// Start of the event, counted from the start of the load.
--- a/crates/sycamore-bench/src/stand_in/platform/rate.rs
+++ b/crates/sycamore-bench/src/stand_in/platform/rate.rs
@@ -29,12 +29,12 @@
     }
 }
 
-/// Rate limits of the platform.
+/// Rate limits of the platform's stand-in.
 #[derive(Debug, Clone)]
 pub struct RateCaps {
-    /// Limit on reads.
+    /// Limit on reads per second.
     pub reads: RateCap,
-    /// Limit on writes.
+    /// Limit on writes per second.
     pub writes: RateCap,
 }
 
--- a/crates/sycamore-bench/src/stand_in/platform/serve.rs
+++ b/crates/sycamore-bench/src/stand_in/platform/serve.rs
@@ -42,7 +42,7 @@
     table: Table,
     objects: Objects,
     caps: RateCaps,
-    /// End of the last outage, counted from the start.
+    /// End of the last outage, counted from the stand-in's start.
     outage_until: Duration,
     /// Delay of every request.
     slow: Duration,
@@ -253,7 +253,7 @@
     }
 }
 
-/// Decodes percent-encoding.
+/// Decodes the percent-encoding of a key or value in a query string.
 fn decode(text: &str) -> String {
     percent_encoding::percent_decode_str(text).decode_utf8_lossy().into_owned()
 }
--- a/crates/sycamore-bench/src/stand_in/platform/table.rs
+++ b/crates/sycamore-bench/src/stand_in/platform/table.rs
@@ -56,7 +56,7 @@
     pub value: Value,
 }
 
-/// Table in memory.
+/// Rows of the emulated platform's table, held in memory.
 #[derive(Debug, Default)]
 pub struct Table {
     rows: BTreeMap<String, Row>,
--- a/crates/sycamore-bench/src/stand_in/upstream/onward.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/onward.rs
@@ -15,11 +15,11 @@
 /// Outcome of a nested call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NestedCall {
-    /// The call succeeded, or the request asked for none.
+    /// The nested call succeeded, or the request asked for none.
     Ok,
-    /// The call was answered with this error status.
+    /// The nested call was answered with this error status.
     Failed(StatusCode),
-    /// No complete answer arrived.
+    /// No complete answer to the nested call arrived.
     NoAnswer,
 }
 
--- a/crates/sycamore-bench/src/stand_in/upstream/serve.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/serve.rs
@@ -189,7 +189,7 @@
         reply
     }
 
-    /// Runs a request that has a slot.
+    /// Runs a request that has taken a slot, and reports the run to the witness.
     async fn run(
         &self,
         head: &http::request::Parts,
@@ -212,8 +212,10 @@
         };
         let answer = match within(deadline, work).await {
             None => timed_out(),
-            Some(NestedCall::Failed(status)) => text(status, "a call onward failed\n"),
-            Some(NestedCall::NoAnswer) => text(StatusCode::BAD_GATEWAY, "no answer from onward\n"),
+            Some(NestedCall::Failed(status)) => text(status, "a nested call failed\n"),
+            Some(NestedCall::NoAnswer) => {
+                text(StatusCode::BAD_GATEWAY, "no answer to a nested call\n")
+            }
             Some(NestedCall::Ok) if result == RequestResult::Failed => {
                 text(StatusCode::INTERNAL_SERVER_ERROR, "failed\n")
             }
--- a/crates/sycamore-bench/tests/process/explain.rs
+++ b/crates/sycamore-bench/tests/process/explain.rs
@@ -90,20 +90,20 @@
     });
 }
 
-/// Guards against a timeout, here caused by stopped upstreams of the service that is called onward,
+/// Guards against a timeout, here of a nested call to a service whose upstreams are all paused,
 /// that the logs don't trace to that service.
 #[test]
 fn logs_of_a_timeout_name_the_slow_dependency() {
     run_on_fleet(12, async |fleet| {
-        // Stops all upstreams of the second service, so that calls to them are never answered.
+        // Pauses all upstreams of the second service, so that calls to them are never answered.
         for name in fleet.of_service("intake") {
-            let stop = nix::sys::signal::Signal::SIGSTOP;
-            fleet.signal_upstream(&name, stop).expect("an upstream runs");
+            let pause = nix::sys::signal::Signal::SIGSTOP;
+            fleet.signal_upstream(&name, pause).expect("an upstream runs");
         }
         let kind = CallKind { timeout_ms: Some(900), ..CallKind::chained("counter", "intake") };
         let record = send(fleet, "counter-1", &kind, "waited").await;
         assert_ne!(record.ended, Ended::Ok, "{record:?}");
-        // The onward call is the one without an answer, logged by the node of an intake upstream.
+        // The nested call is the one without an answer, logged by the node of an intake upstream.
         let words = ["request=waited.1", "run ended", "instance=intake-"];
         let line = find_log_line(fleet, "waited", &words).await;
         let took = line.split("took_ms=").nth(1).and_then(|rest| rest.split(' ').next());
--- a/crates/sycamore-bench/tests/process/faults.rs
+++ b/crates/sycamore-bench/tests/process/faults.rs
@@ -1,4 +1,4 @@
-//! Nodes and upstreams that are killed or stopped under load.
+//! Nodes and upstreams that are killed or paused under load.
 
 use crate::support::{fleet_permit, run_under_load, sleep, small_fleet, Outcome};
 use nix::sys::signal::Signal;
@@ -38,7 +38,7 @@
     assert_no_violations_and_service(&outcome);
 }
 
-/// Guards against calls that run twice because their node was stopped for 7 seconds, and against a
+/// Guards against calls that run twice because their node was paused for 7 seconds, and against a
 /// resumed node that gets no more calls.
 #[test]
 fn a_paused_node_causes_no_second_run_and_serves_after_it_resumes() {
@@ -76,7 +76,7 @@
 }
 
 /// Guards against a second run of a call with an idempotency key: the repeat waits unread in a
-/// stopped node until the other nodes have forgotten the key.
+/// paused node until the other nodes have forgotten the key.
 #[test]
 fn a_repeat_that_waited_in_a_paused_node_beyond_key_memory_is_not_run() {
     let _permit = fleet_permit();
--- a/crates/sycamore-bench/tests/process/soak.rs
+++ b/crates/sycamore-bench/tests/process/soak.rs
@@ -9,7 +9,7 @@
 /// Longest time that the run of one seed may take.
 const LIMIT: Duration = Duration::from_secs(120);
 
-/// Guards against violations that only overlapping faults cause.
+/// Guards against violations of invariants that only overlapping faults cause.
 #[test]
 fn invariants_hold_under_overlapping_faults() {
     for seed in [12, 101] {
--- a/crates/sycamore-bench/tests/process/support.rs
+++ b/crates/sycamore-bench/tests/process/support.rs
@@ -63,12 +63,12 @@
     pub tally: Tally,
     /// Requests that ran on upstreams.
     pub ledger: Ledger,
-    /// Violated guarantees.
+    /// Counts of violated guarantees.
     pub violations: Violations,
 }
 
 /// Runs `scenario` on a small fleet under mixed calls to the nodes `callers_at`, or to all nodes if
-/// it is empty. The load ends with the scenario.
+/// `callers_at` is empty. The load ends with the scenario.
 pub fn run_under_load(
     seed: u64,
     callers_at: &[&str],
@@ -111,7 +111,7 @@
     let supervision = join(fleet.supervise(), watch.run(fleet));
     let (tally, result) = match select(pin!(work), pin!(supervision)).await {
         Either::Left((both, _)) => both,
-        Either::Right(_) => unreachable!("the supervision of a fleet never ends"),
+        Either::Right(_) => unreachable!("Fleet::supervise never returns"),
     };
     result.expect("the scenario succeeds");
     let ledger = fleet.witness().ledger().await;
--- a/crates/sycamore-bench/tests/soak.rs
+++ b/crates/sycamore-bench/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Schedules that the soak draws, and its detection of guarantee violations.
+//! Tests of the soak's schedules and of its detection of violated invariants.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -72,12 +72,12 @@
     Ledger::new(vec![start; times])
 }
 
-/// Returns the names of the violated guarantees.
+/// Returns the names of the violated invariants.
 fn names(invariants: &Invariants) -> Vec<&'static str> {
     invariants.violations().into_iter().map(|(name, _)| name).collect()
 }
 
-/// Guards against a violation that the soak doesn't report, or reports under another name.
+/// Guards against a violation of an invariant that the soak doesn't report, or reports under another name.
 #[test]
 fn each_violation_is_reported_by_name() {
     let violations_of = |record: Record, ledger: &Ledger| {
