--- a/crates/sycamore-bench/src/demo/moves.rs
+++ b/crates/sycamore-bench/src/demo/moves.rs
@@ -18,7 +18,7 @@
 /// Time from the import until both moves' deadline, in seconds.
 const WINDOW_S: i64 = 32;
 /// Watch period of both moves, as written in the sheet.
-const WATCH: &str = "6s";
+const WATCH_PERIOD: &str = "6s";
 /// Time between two queries of the report.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after the deadline for which the report is still polled.
@@ -175,7 +175,7 @@
     let now = Timestamp::now().round(Unit::Second).change_context_lazy(context)?;
     let deadline = now.checked_add(WINDOW_S.seconds()).change_context_lazy(context)?;
     let row = |name: &str, service: &str| {
-        format!("{name},{service},1.0.0,{NEW_VERSION},{now},{deadline},{WATCH}\r\n")
+        format!("{name},{service},1.0.0,{NEW_VERSION},{now},{deadline},{WATCH_PERIOD}\r\n")
     };
     let header = "move,service,from,to,start,deadline,watch\r\n";
     Ok(format!("{header}{}{}", row("counter-2", "counter"), row("intake-2", "intake")))
--- a/crates/sycamore-bench/src/fleet/process.rs
+++ b/crates/sycamore-bench/src/fleet/process.rs
@@ -49,7 +49,7 @@
         Ok(Self { child, ended: false })
     }
 
-    /// Returns the process id.
+    /// Returns the id of the child process.
     pub fn pid(&self) -> i32 {
         pid_of(&self.child)
     }
--- a/crates/sycamore-bench/src/fleet/start.rs
+++ b/crates/sycamore-bench/src/fleet/start.rs
@@ -27,8 +27,8 @@
     pub(super) options: Options,
     pub(super) net: Net,
     pub(super) dir: PathBuf,
-    daemon: PathBuf,
-    tool: PathBuf,
+    node_program: PathBuf,
+    bench_program: PathBuf,
     pub(super) witness: Witness,
     pub(super) instances: RefCell<BTreeMap<String, Instance>>,
     pub(super) platform: RefCell<Process>,
@@ -73,13 +73,13 @@
             .join(format!("sycamoreshift-bench-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&dir)
             .change_context_lazy(|| BenchError::Io(format!("create {}", dir.display())))?;
-        let tool = executable("sycamoreshift-bench")?;
-        let program = platform_program(&tool, &net, &options);
+        let bench_program = executable("sycamoreshift-bench")?;
+        let program = platform_program(&bench_program, &net, &options);
         let platform = Process::start(&program, &dir.join("platform.log"))?;
         let fleet = Self {
             witness: Witness::start(net.witness())?,
-            daemon: executable("sycamoreshiftd")?,
-            tool,
+            node_program: executable("sycamoreshiftd")?,
+            bench_program,
             net,
             dir,
             options,
@@ -194,7 +194,7 @@
             let ahead = entry.clock_ahead.as_millis().to_string();
             let args =
                 ["--settings".into(), file.display().to_string(), "--clock-ahead".into(), ahead];
-            let program = Program { path: self.daemon.clone(), args: args.into() };
+            let program = Program { path: self.node_program.clone(), args: args.into() };
             entry.node = Some(Process::start(&program, &log)?);
             Ok(())
         })
@@ -214,7 +214,7 @@
         self.with_instance(instance, |entry| {
             entry.upstream = None;
             let args = entry.spec.upstream.to_args();
-            let program = Program { path: self.tool.clone(), args };
+            let program = Program { path: self.bench_program.clone(), args };
             entry.upstream = Some(Process::start(&program, &log)?);
             Ok(())
         })
@@ -270,13 +270,13 @@
     }
 }
 
-fn platform_program(tool: &Path, net: &Net, options: &Options) -> Program {
+fn platform_program(bench_program: &Path, net: &Net, options: &Options) -> Program {
     let args = ["stand-in", "platform", "--listen"].map(String::from);
     let mut args = args.to_vec();
     args.push(net.platform().to_string());
     args.extend(["--reads-per-s".into(), options.reads_per_s.to_string()]);
     args.extend(["--writes-per-s".into(), options.writes_per_s.to_string()]);
-    Program { path: tool.to_owned(), args }
+    Program { path: bench_program.to_owned(), args }
 }
 
 /// Returns the path of the executable `name` in the directory of the running executable or, for a
--- a/crates/sycamore-bench/src/fleet/usage.rs
+++ b/crates/sycamore-bench/src/fleet/usage.rs
@@ -17,7 +17,7 @@
 }
 
 impl Usage {
-    /// Reads the usage of the process `pid`.
+    /// Reads the processor time and memory of the process `pid`.
     ///
     /// # Errors
     /// [`BenchError::Io`] if the process doesn't exist.
--- a/crates/sycamore-bench/src/fleet/wait.rs
+++ b/crates/sycamore-bench/src/fleet/wait.rs
@@ -13,7 +13,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time between two checks for crashed upstreams.
-const TEND_INTERVAL: Duration = Duration::from_millis(200);
+const SUPERVISION_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Pause after a round of announcements for upstreams that don't run.
 const ANNOUNCE_PAUSE: Duration = Duration::from_millis(800);
@@ -114,7 +114,7 @@
             if self.options.upstreams == Upstreams::Announced {
                 self.announce_all().await;
             }
-            monoio::time::sleep(TEND_INTERVAL).await;
+            monoio::time::sleep(SUPERVISION_INTERVAL).await;
         }
     }
 
--- a/crates/sycamore-bench/src/load/tally.rs
+++ b/crates/sycamore-bench/src/load/tally.rs
@@ -54,7 +54,7 @@
 }
 
 impl Tally {
-    /// Adds the record of an ended call.
+    /// Adds the record of an ended call to the tally.
     pub fn add(&mut self, record: Record) {
         self.records.push(record);
     }
@@ -137,24 +137,26 @@
     pub fn describe_repeated_runs(&self, ledger: &Ledger) -> Vec<String> {
         let runs = ledger.runs();
         let by_token = self.by_token();
-        let kept = by_token.iter().filter(|(_, records)| !records[0].idempotent);
-        kept.filter_map(|(token, records)| {
-            let runs = runs.get(token).filter(|runs| runs.len() > 1)?;
-            let first = runs[0].at_us;
-            let ms = |us: u64| (us as f64 - first as f64) / 1_000.0;
-            let mut line = format!("{token} ran more than once; times in ms from its first run:");
-            for record in records {
-                let (sent, took) = (ms(record.sent_us), record.latency.as_secs_f64() * 1_000.0);
-                let addr = record.addr.map_or_else(String::new, |addr| addr.to_string());
-                let ended = record.ended;
-                line += &format!(" sent {sent:.1} to {addr}, {ended:?} after {took:.1};");
-            }
-            for run in runs {
-                line += &format!(" run {:.1} on {};", ms(run.at_us), run.instance);
-            }
-            Some(line)
-        })
-        .collect()
+        let single_run_calls = by_token.iter().filter(|(_, records)| !records[0].idempotent);
+        single_run_calls
+            .filter_map(|(token, records)| {
+                let runs = runs.get(token).filter(|runs| runs.len() > 1)?;
+                let first = runs[0].at_us;
+                let ms = |us: u64| (us as f64 - first as f64) / 1_000.0;
+                let mut line =
+                    format!("{token} ran more than once; times in ms from its first run:");
+                for record in records {
+                    let (sent, took) = (ms(record.sent_us), record.latency.as_secs_f64() * 1_000.0);
+                    let addr = record.addr.map_or_else(String::new, |addr| addr.to_string());
+                    let ended = record.ended;
+                    line += &format!(" sent {sent:.1} to {addr}, {ended:?} after {took:.1};");
+                }
+                for run in runs {
+                    line += &format!(" run {:.1} on {};", ms(run.at_us), run.instance);
+                }
+                Some(line)
+            })
+            .collect()
     }
 
     fn by_token(&self) -> HashMap<&str, Vec<&Record>> {
--- a/crates/sycamore-bench/src/measure/calls.rs
+++ b/crates/sycamore-bench/src/measure/calls.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Rate of the direct calls that bypass the nodes, as a fraction of the mixed load's rate.
-const DIRECT_PART: f64 = 0.25;
+const DIRECT_FRACTION: f64 = 0.25;
 /// Time for which the `freeze` fault pauses a node with SIGSTOP.
 const PAUSE_TIME: Duration = Duration::from_secs(2);
 /// Wait before the load, with [`SETTINGS`]: until `key_memory` and `view_lag` have passed, nodes
@@ -84,7 +84,7 @@
     fleet.wait_members().await?;
     monoio::time::sleep(SETTLE).await;
     let mixed = load_options(&options, options.rate, super::caller_targets(&fleet)?, mixed_kinds);
-    let direct_rate = options.rate * DIRECT_PART;
+    let direct_rate = options.rate * DIRECT_FRACTION;
     // Call tokens derive from the seed: two loads with one seed would count as repeats of the same
     // calls.
     let seeded = |add: u64| Options { seed: options.seed + add, ..options.clone() };
--- a/crates/sycamore-bench/src/measure/converge/baseline.rs
+++ b/crates/sycamore-bench/src/measure/converge/baseline.rs
@@ -29,7 +29,7 @@
 /// Key of the row that names the current configuration.
 const HEAD: &str = "config/head";
 
-/// Emulated polling nodes: their target and what they have counted.
+/// Emulated nodes that poll the platform, with the times and traffic measured so far.
 struct Pollers {
     platform: SocketAddr,
     /// Configuration version that each node polled last, by the node's index.
@@ -161,10 +161,10 @@
     /// not within [`LIMIT`].
     async fn wait_for_version(&self, version: u64) {
         let end = Instant::now() + LIMIT;
-        let lagging = || self.versions.borrow().iter().filter(|v| **v < version).count();
-        while lagging() > 0 && Instant::now() < end {
+        let count_behind = || self.versions.borrow().iter().filter(|v| **v < version).count();
+        while count_behind() > 0 && Instant::now() < end {
             monoio::time::sleep(Duration::from_millis(20)).await;
         }
-        self.times.borrow_mut().extend(std::iter::repeat_n(f64::INFINITY, lagging()));
+        self.times.borrow_mut().extend(std::iter::repeat_n(f64::INFINITY, count_behind()));
     }
 }
--- a/crates/sycamore-bench/src/measure/converge/report.rs
+++ b/crates/sycamore-bench/src/measure/converge/report.rs
@@ -1,4 +1,4 @@
-//! The JSON result of `measure converge`.
+//! JSON result of `measure converge`.
 
 use super::Options;
 use crate::measure::Violations;
--- a/crates/sycamore-bench/src/measure/converge/run.rs
+++ b/crates/sycamore-bench/src/measure/converge/run.rs
@@ -250,26 +250,26 @@
         violations: Violations,
     ) -> Report {
         let nodes = self.options.nodes as f64;
-        let (quiet, busy) = (seconds(idle, start), seconds(start, end));
+        let (idle_s, changes_s) = (seconds(idle, start), seconds(start, end));
         let idle_bytes = start.bytes.total() - idle.bytes.total();
-        let idle_peers = start.bytes.peers - idle.bytes.peers;
-        let busy_bytes = end.bytes.total() - start.bytes.total();
-        let extra = busy_bytes - idle_bytes / quiet * busy;
+        let idle_peer_bytes = start.bytes.peers - idle.bytes.peers;
+        let change_bytes = end.bytes.total() - start.bytes.total();
+        let extra_bytes = change_bytes - idle_bytes / idle_s * changes_s;
         let (reads, writes) =
             (end.stats.reads - idle.stats.reads, end.stats.writes - idle.stats.writes);
         let usage = UsageShares::between(idle, end);
         let mut report =
             Report::new(self.options, self.times.clone()).with_restarts(self.restarts.clone());
-        report.seconds = quiet + busy;
-        report.idle_bytes_per_node_s = idle_bytes / quiet / nodes;
-        report.idle_peer_bytes_per_node_s = idle_peers / quiet / nodes;
+        report.seconds = idle_s + changes_s;
+        report.idle_bytes_per_node_s = idle_bytes / idle_s / nodes;
+        report.idle_peer_bytes_per_node_s = idle_peer_bytes / idle_s / nodes;
         // Killed nodes lose their counters, so a run with a herd has no such figure.
         report.bytes_per_change_per_node = match self.has_fault(Fault::Herd) {
             true => f64::NAN,
-            false => extra / (self.options.changes.max(1) as f64 * nodes),
+            false => extra_bytes / (self.options.changes.max(1) as f64 * nodes),
         };
-        report.platform_reads_per_s = reads as f64 / (quiet + busy);
-        report.platform_writes_per_s = writes as f64 / (quiet + busy);
+        report.platform_reads_per_s = reads as f64 / (idle_s + changes_s);
+        report.platform_writes_per_s = writes as f64 / (idle_s + changes_s);
         report.platform_refused = end.stats.refused - idle.stats.refused;
         report.cpu_core_share_mean = Some(usage.cpu_mean);
         report.cpu_core_share_max = Some(usage.cpu_max);
--- a/crates/sycamore-bench/src/measure/moves/baseline.rs
+++ b/crates/sycamore-bench/src/measure/moves/baseline.rs
@@ -24,13 +24,13 @@
     next_check_ms: u64,
     /// Time at which the controller took the version back, in milliseconds; `None` while it has
     /// not.
-    pub withdrawn_ms: Option<u64>,
+    pub taken_back_ms: Option<u64>,
 }
 
 impl Baseline {
     /// Returns the new version's share at `ms`.
     pub fn share(&self, scenario: &Scenario, ms: u64) -> Share {
-        if self.withdrawn_ms.is_some() || ms < scenario.start_ms {
+        if self.taken_back_ms.is_some() || ms < scenario.start_ms {
             return Share::NONE;
         }
         let window = scenario.deadline_ms - scenario.start_ms;
@@ -58,7 +58,7 @@
         let failed = self.outcomes.iter().filter(|(_, failed)| *failed).count();
         let calls = self.outcomes.len();
         if calls >= MIN_CALLS && failed as f64 / calls as f64 > MAX_ERROR_RATE {
-            self.withdrawn_ms.get_or_insert(ms);
+            self.taken_back_ms.get_or_insert(ms);
         }
     }
 }
--- a/crates/sycamore-bench/src/measure/moves/mod.rs
+++ b/crates/sycamore-bench/src/measure/moves/mod.rs
@@ -112,7 +112,7 @@
     let kinds = kinds.chain((0..options.bad).map(|i| BAD[i % BAD.len()]));
     for (index, kind) in kinds.enumerate() {
         let trial = run_trial(&options, kind, index as u64);
-        if let Some(reason) = trial.false_withdrawal_reason() {
+        if let Some(reason) = trial.false_taken_back_reason() {
             eprintln!("move {index} ({kind:?}) to a good version was taken back: {reason}");
         }
         summary.add(&trial);
--- a/crates/sycamore-bench/src/measure/moves/node.rs
+++ b/crates/sycamore-bench/src/measure/moves/node.rs
@@ -35,10 +35,10 @@
     /// Whether the upstream runs the new version.
     pub is_new: bool,
     /// Time until which the upstream is down, in milliseconds; 0 before its first crash.
-    pub down_until_ms: u64,
+    pub upstream_down_until_ms: u64,
     /// Time until which the node process is down, in milliseconds; 0 for a node that was not
     /// killed.
-    pub dead_until_ms: u64,
+    pub node_down_until_ms: u64,
     /// The product's control of the move on this node.
     pub control: MoveControl,
     /// Calls in progress on the upstream.
@@ -66,8 +66,8 @@
         Self {
             member,
             is_new,
-            down_until_ms: 0,
-            dead_until_ms: 0,
+            upstream_down_until_ms: 0,
+            node_down_until_ms: 0,
             control,
             running: Vec::new(),
             collector,
@@ -85,7 +85,7 @@
 
     /// Returns whether both the node process and its upstream are up at `ms`.
     pub fn is_up(&self, ms: u64) -> bool {
-        ms >= self.down_until_ms && ms >= self.dead_until_ms
+        ms >= self.upstream_down_until_ms && ms >= self.node_down_until_ms
     }
 
     /// Returns the peer description that other nodes' controls get.
@@ -128,7 +128,7 @@
     /// Crashes the upstream: returns `outcome` and those of all calls in progress as broken.
     fn crash(&mut self, ms: u64, outcome: CallOutcome) -> Vec<CallOutcome> {
         self.collector.record_crash();
-        self.down_until_ms = ms + super::upstream::DOWN_MS;
+        self.upstream_down_until_ms = ms + super::upstream::DOWN_MS;
         let running = std::mem::take(&mut self.running).into_iter().map(|call| call.outcome);
         std::iter::once(outcome)
             .chain(running)
--- a/crates/sycamore-bench/src/measure/moves/setup.rs
+++ b/crates/sycamore-bench/src/measure/moves/setup.rs
@@ -87,14 +87,14 @@
 /// Creates the input that names the instances of `service` whose nodes are up at `ms`.
 pub fn peers(service: &[Node], ms: u64) -> Input {
     let live: Vec<Peer> =
-        service.iter().filter(|node| ms >= node.dead_until_ms).map(Node::peer).collect();
+        service.iter().filter(|node| ms >= node.node_down_until_ms).map(Node::peer).collect();
     let regions = live.iter().map(|peer| peer.region.clone()).collect();
     Input::Peers { live, regions }
 }
 
 /// Returns the move's outcome under the `baseline` policy.
 pub fn baseline_outcome(scenario: &Scenario, baseline: &Baseline) -> Outcome {
-    let (kind, cause, at) = match baseline.withdrawn_ms {
+    let (kind, cause, at) = match baseline.taken_back_ms {
         Some(at) => (OutcomeKind::TakenBack, Cause::Bad, at),
         None => (OutcomeKind::Done, Cause::Proven, scenario.deadline_ms),
     };
--- a/crates/sycamore-bench/src/measure/moves/trial/mod.rs
+++ b/crates/sycamore-bench/src/measure/moves/trial/mod.rs
@@ -23,7 +23,7 @@
 /// Longest time that a trial continues after the move's deadline, in milliseconds.
 const AFTER_DEADLINE_MS: u64 = 60_000;
 /// Probability that a report between nodes is lost; also that it arrives twice.
-const LOSS: f64 = 0.02;
+const LOSS_PROBABILITY: f64 = 0.02;
 /// Time from the kill of a node process until its restart, in milliseconds.
 const RESTART_DELAY_MS: u64 = 1_500;
 /// Time between two kills, in milliseconds.
@@ -68,7 +68,7 @@
 impl Trial {
     /// Returns the reason for which a good version was taken back; `None` if it was not, if the
     /// version is bad or if an operator aborted the move.
-    pub fn false_withdrawal_reason(&self) -> Option<&str> {
+    pub fn false_taken_back_reason(&self) -> Option<&str> {
         let outcome = self.outcome.as_ref().filter(|_| !self.kind.is_bad() && !self.aborted)?;
         (outcome.kind == EndKind::TakenBack).then_some(outcome.reason.as_str())
     }
@@ -161,7 +161,7 @@
         let ended = match self.policy {
             Policy::Product => self.table.row().is_ended(),
             Policy::Baseline => {
-                self.baseline.withdrawn_ms.is_some() || self.now >= self.scenario.deadline_ms
+                self.baseline.taken_back_ms.is_some() || self.now >= self.scenario.deadline_ms
             }
         };
         // Nodes need some time to learn that the move has ended.
@@ -199,7 +199,7 @@
 
     /// Passes the inputs that are due to the node with the given index.
     fn run_timers(&mut self, index: usize) {
-        if self.now < self.nodes[index].dead_until_ms {
+        if self.now < self.nodes[index].node_down_until_ms {
             return;
         }
         // Offsets the nodes' timers, which don't run in step in reality either.
@@ -241,8 +241,8 @@
     /// Sends a message with a random delay in milliseconds; it may be lost or arrive twice.
     fn send_lossy(&mut self, delay: std::ops::Range<u64>, message: impl Fn() -> Message) {
         let copies = match self.rng.random::<f64>() {
-            draw if draw < LOSS => 0,
-            draw if draw < 2.0 * LOSS => 2,
+            draw if draw < LOSS_PROBABILITY => 0,
+            draw if draw < 2.0 * LOSS_PROBABILITY => 2,
             _ => 1,
         };
         for _ in 0..copies {
@@ -254,7 +254,7 @@
     /// Passes `input` to the control of a node, unless the node is down, and carries out its
     /// actions.
     fn step_control(&mut self, index: usize, input: Input) {
-        if self.now < self.nodes[index].dead_until_ms {
+        if self.now < self.nodes[index].node_down_until_ms {
             return;
         }
         for action in self.nodes[index].step(self.now, input) {
@@ -349,7 +349,7 @@
         }
     }
 
-    /// Restarts killed nodes whose time has come, and kills a random one every
+    /// Restarts the killed nodes whose restart is due, and kills a random one every
     /// [`KILL_INTERVAL_MS`].
     fn kill_and_restart(&mut self) {
         if !self.faults.kill || self.now < self.scenario.start_ms {
@@ -358,7 +358,7 @@
         let row = self.table.row().clone();
         for index in 0..2 * self.scenario.instances {
             let node = &mut self.nodes[index];
-            if node.dead_until_ms != 0 && self.now >= node.dead_until_ms {
+            if node.node_down_until_ms != 0 && self.now >= node.node_down_until_ms {
                 node.restart(&row, self.now);
                 for fact in &self.facts {
                     self.queue.send(self.now + 300, Message::Fact(index, fact.clone()));
@@ -367,7 +367,7 @@
         }
         if self.now.is_multiple_of(KILL_INTERVAL_MS) {
             let victim = self.rng.random_range(0..2 * self.scenario.instances);
-            self.nodes[victim].dead_until_ms = self.now + RESTART_DELAY_MS;
+            self.nodes[victim].node_down_until_ms = self.now + RESTART_DELAY_MS;
             self.nodes[victim].running.clear();
         }
     }
--- a/crates/sycamore-bench/src/measure/moves/trial/traffic.rs
+++ b/crates/sycamore-bench/src/measure/moves/trial/traffic.rs
@@ -21,7 +21,7 @@
     /// Sends a call of `caller` to a version by the share, or to the old one if no instance of the
     /// new one admits it; the call is dropped if none of the old one does either.
     fn send_call(&mut self, caller: u64) {
-        let open = !self.table.row().is_ended() && self.baseline.withdrawn_ms.is_none();
+        let open = !self.table.row().is_ended() && self.baseline.taken_back_ms.is_none();
         if open && self.now >= self.scenario.start_ms {
             self.calls += 1;
         }
--- a/crates/sycamore-bench/src/measure/overload.rs
+++ b/crates/sycamore-bench/src/measure/overload.rs
@@ -15,7 +15,7 @@
 /// Number of calls that each upstream runs at the same time.
 const SLOTS: u16 = 4;
 /// Mean time that a call takes at each service level, without its nested calls.
-const WORK: Duration = Duration::from_millis(40);
+const WORK_TIME: Duration = Duration::from_millis(40);
 /// Timeout of each call, in milliseconds.
 const TIMEOUT_MS: u64 = 2_000;
 /// Retries per failed call under the `baseline` policy, whatever the failure.
@@ -77,7 +77,7 @@
 /// Runs `measure overload` and prints its result.
 pub(super) async fn run(options: Options) -> Result<()> {
     let names: Vec<String> = (0..options.depth.max(1)).map(|i| format!("level-{i}")).collect();
-    let upstream = upstream::Options { slots: SLOTS, work: WORK, ..Default::default() };
+    let upstream = upstream::Options { slots: SLOTS, work: WORK_TIME, ..Default::default() };
     let fleet = Fleet::start(FleetOptions {
         deployment: overload_deployment(&names),
         seed: options.seed,
@@ -88,7 +88,7 @@
     fleet.wait_members().await?;
     // A call occupies its slot at the first level until all levels have answered.
     let slots = (UPSTREAMS * usize::from(SLOTS)) as f64;
-    let capacity_per_s = slots / (WORK.as_secs_f64() * names.len() as f64);
+    let capacity_per_s = slots / (WORK_TIME.as_secs_f64() * names.len() as f64);
     let baseline = options.policy == "baseline";
     let load = load::Options {
         seed: options.seed,
--- a/crates/sycamore-bench/src/stand_in/platform/table.rs
+++ b/crates/sycamore-bench/src/stand_in/platform/table.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Row of the table.
+/// Row of the emulated platform's table.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     /// Key of the row.
--- a/crates/sycamore-bench/src/stand_in/upstream/probes.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/probes.rs
@@ -8,12 +8,12 @@
 use std::time::Duration;
 
 /// Age of the state that lagging endpoints report.
-const LAG: Duration = Duration::from_secs(3);
+const LAGGING_AGE: Duration = Duration::from_secs(3);
 
 /// Load of the upstream, as the load endpoint reports it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Load {
-    /// Number of slots taken.
+    /// Number of the upstream's slots that are taken.
     pub busy: usize,
     /// Number of requests that wait for a slot.
     pub queued: usize,
@@ -30,7 +30,7 @@
     /// to be reported.
     pub fn sample(&mut self, now: Duration, load: Load, healthy: bool) {
         self.samples.push_back((now, load, healthy));
-        while self.samples.get(1).is_some_and(|(at, ..)| *at + LAG <= now) {
+        while self.samples.get(1).is_some_and(|(at, ..)| *at + LAGGING_AGE <= now) {
             self.samples.pop_front();
         }
     }
--- a/crates/sycamore-bench/src/stand_in/upstream/slots.rs
+++ b/crates/sycamore-bench/src/stand_in/upstream/slots.rs
@@ -35,7 +35,7 @@
 /// Future that waits for a slot.
 pub struct Take {
     slots: Slots,
-    /// Place in the queue; `None` before the first poll and after a slot was taken.
+    /// Ticket of the waiting request; `None` before the first poll and after a slot was taken.
     ticket: Option<u64>,
 }
 
--- a/crates/sycamore-bench/src/witness/ledger.rs
+++ b/crates/sycamore-bench/src/witness/ledger.rs
@@ -16,7 +16,7 @@
     pub version: String,
 }
 
-/// Reports that a witness has collected.
+/// Events of upstreams that a witness has collected.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     events: Vec<UpstreamEvent>,
@@ -28,7 +28,7 @@
         Self { events }
     }
 
-    /// Returns all reports in order of arrival.
+    /// Returns all reported events in order of arrival.
     pub fn events(&self) -> &[UpstreamEvent] {
         &self.events
     }
@@ -81,7 +81,7 @@
         late
     }
 
-    /// Counts the reports of `kind`.
+    /// Counts the reported events of `kind`.
     pub fn count(&self, kind: UpstreamEventKind) -> usize {
         self.events.iter().filter(|event| event.kind == kind).count()
     }
--- a/crates/sycamore-bench/src/witness/report.rs
+++ b/crates/sycamore-bench/src/witness/report.rs
@@ -26,7 +26,7 @@
     Drain,
 }
 
-/// Report of an event on an upstream.
+/// Event on an upstream, as the upstream reports it to the witness.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamEvent {
     /// Kind of the event.
--- a/crates/sycamore-bench/tests/fleet.rs
+++ b/crates/sycamore-bench/tests/fleet.rs
@@ -9,8 +9,8 @@
 /// deployments and the design size of 930 upstreams.
 #[test]
 fn deployments_have_their_documented_sizes() {
-    let klupa = Deployment::zlatna_klupa();
-    assert_eq!((klupa.upstreams(), klupa.centres().len(), klupa.slots), (12, 3, 12));
+    let deployment = Deployment::zlatna_klupa();
+    assert_eq!((deployment.upstreams(), deployment.centres().len(), deployment.slots), (12, 3, 12));
     let sutokatha = Deployment::sutokatha();
     assert_eq!((sutokatha.upstreams(), sutokatha.centres().len(), sutokatha.slots), (11, 3, 18));
     let design = Deployment::scaled(930);
--- a/crates/sycamore-bench/tests/platform.rs
+++ b/crates/sycamore-bench/tests/platform.rs
@@ -62,9 +62,9 @@
 #[test]
 fn a_rate_cap_grants_no_more_than_its_rate_and_one_full_bucket() {
     let mut cap = RateCap::new(10);
-    let given = (0..3_000).filter(|ms| cap.take(Duration::from_millis(*ms))).count();
+    let granted = (0..3_000).filter(|ms| cap.take(Duration::from_millis(*ms))).count();
     assert!(
-        (30..=40).contains(&given),
-        "{given} granted in three seconds at 10/s, with a full bucket at the start"
+        (30..=40).contains(&granted),
+        "{granted} tokens granted in three seconds at 10/s, with a full bucket at the start"
     );
 }
--- a/crates/sycamore-bench/tests/process/explain.rs
+++ b/crates/sycamore-bench/tests/process/explain.rs
@@ -110,8 +110,8 @@
         let took_ms: u64 = took.and_then(|ms| ms.parse().ok()).expect("took_ms is a number");
         assert!(took_ms > 800, "expected most of the caller's timeout of 900 ms: {line}");
         for name in fleet.of_service("intake") {
-            let go = nix::sys::signal::Signal::SIGCONT;
-            fleet.signal_upstream(&name, go).expect("an upstream runs");
+            let resume = nix::sys::signal::Signal::SIGCONT;
+            fleet.signal_upstream(&name, resume).expect("an upstream runs");
         }
     });
 }
--- a/crates/sycamore-bench/tests/process/morning.rs
+++ b/crates/sycamore-bench/tests/process/morning.rs
@@ -30,8 +30,8 @@
 impl OperatorCli {
     fn at(fleet: &Fleet, instance: &str) -> Self {
         let own = std::env::current_exe().expect("the test has a path");
-        let beside = own.ancestors().skip(1).take(2).map(|dir| dir.join("sycamoreshift"));
-        let program = beside.into_iter().find(|path| path.is_file());
+        let candidates = own.ancestors().skip(1).take(2).map(|dir| dir.join("sycamoreshift"));
+        let program = candidates.into_iter().find(|path| path.is_file());
         Self {
             program: program.expect("the workspace's binaries are built"),
             node: fleet.operator_addr(instance).expect("an instance").to_string(),
--- a/crates/sycamore-bench/tests/proxy.rs
+++ b/crates/sycamore-bench/tests/proxy.rs
@@ -7,9 +7,9 @@
 use sycamore_bench::proxy::{Direction, Fault, Link, Proxy, Route, Transport};
 
 /// Delay that faults add, and wait for an echo that must not arrive.
-const SHORT: Duration = Duration::from_millis(150);
+const SHORT_TIME: Duration = Duration::from_millis(150);
 /// Longest wait for an echo that must arrive.
-const LONG: Duration = Duration::from_secs(5);
+const ECHO_LIMIT: Duration = Duration::from_secs(5);
 
 /// Proxy before an echo server, with the link that its faults are set on.
 struct Setup {
@@ -72,12 +72,12 @@
     for fault in [Fault::Cut(Direction::Forward), Fault::Cut(Direction::Return), Fault::Silence] {
         let setup = setup();
         let mut stream = setup.open();
-        assert_eq!(echoes(&mut stream, LONG), Ok(()));
+        assert_eq!(echoes(&mut stream, ECHO_LIMIT), Ok(()));
         setup.link.set(fault);
-        assert_eq!(echoes(&mut stream, SHORT), Err(ErrorKind::WouldBlock), "{fault:?}");
+        assert_eq!(echoes(&mut stream, SHORT_TIME), Err(ErrorKind::WouldBlock), "{fault:?}");
         setup.link.set(Fault::None);
         let mut late = [0; 4];
-        stream.set_read_timeout(Some(LONG)).expect("a limit");
+        stream.set_read_timeout(Some(ECHO_LIMIT)).expect("a limit");
         assert!(stream.read_exact(&mut late).is_ok(), "{fault:?}");
     }
 }
@@ -86,21 +86,21 @@
 fn a_delay_applies_in_both_directions() {
     let setup = setup();
     let mut stream = setup.open();
-    setup.link.set(Fault::Delay(SHORT));
+    setup.link.set(Fault::Delay(SHORT_TIME));
     let begun = Instant::now();
-    assert_eq!(echoes(&mut stream, LONG), Ok(()));
-    assert!(begun.elapsed() >= 2 * SHORT, "{:?}", begun.elapsed());
+    assert_eq!(echoes(&mut stream, ECHO_LIMIT), Ok(()));
+    assert!(begun.elapsed() >= 2 * SHORT_TIME, "{:?}", begun.elapsed());
 }
 
 #[test]
 fn a_reset_ends_open_connections_and_new_ones_work() {
     let setup = setup();
     let mut stream = setup.open();
-    assert_eq!(echoes(&mut stream, LONG), Ok(()));
+    assert_eq!(echoes(&mut stream, ECHO_LIMIT), Ok(()));
     setup.link.reset();
     let ended = stream.read(&mut [0; 4]);
     assert_eq!(ended.map_err(|e| e.kind()), Err(ErrorKind::ConnectionReset));
-    assert_eq!(echoes(&mut setup.open(), LONG), Ok(()));
+    assert_eq!(echoes(&mut setup.open(), ECHO_LIMIT), Ok(()));
 }
 
 /// Guards against a muted connection that passes data again once another connection was opened.
@@ -108,11 +108,11 @@
 fn muted_connections_stay_silent_and_new_ones_work() {
     let setup = setup();
     let mut stream = setup.open();
-    assert_eq!(echoes(&mut stream, LONG), Ok(()));
+    assert_eq!(echoes(&mut stream, ECHO_LIMIT), Ok(()));
     setup.link.mute();
-    assert_eq!(echoes(&mut stream, SHORT), Err(ErrorKind::WouldBlock));
-    assert_eq!(echoes(&mut setup.open(), LONG), Ok(()));
-    assert_eq!(echoes(&mut stream, SHORT), Err(ErrorKind::WouldBlock));
+    assert_eq!(echoes(&mut stream, SHORT_TIME), Err(ErrorKind::WouldBlock));
+    assert_eq!(echoes(&mut setup.open(), ECHO_LIMIT), Ok(()));
+    assert_eq!(echoes(&mut stream, SHORT_TIME), Err(ErrorKind::WouldBlock));
 }
 
 #[test]
@@ -124,9 +124,9 @@
         socket.send_to(b"word", setup.front).expect("the datagram can be sent");
         socket.recv(&mut [0; 4]).is_ok()
     };
-    assert!(echoes(LONG));
+    assert!(echoes(ECHO_LIMIT));
     setup.link.set(Fault::Cut(Direction::Return));
-    assert!(!echoes(SHORT));
+    assert!(!echoes(SHORT_TIME));
     setup.link.set(Fault::None);
-    assert!(echoes(LONG));
+    assert!(echoes(ECHO_LIMIT));
 }
--- a/crates/sycamore-bench/tests/soak.rs
+++ b/crates/sycamore-bench/tests/soak.rs
@@ -73,7 +73,7 @@
 }
 
 /// Returns the names of the violated invariants.
-fn names(invariants: &Invariants) -> Vec<&'static str> {
+fn violation_names(invariants: &Invariants) -> Vec<&'static str> {
     invariants.violations().into_iter().map(|(name, _)| name).collect()
 }
 
@@ -84,7 +84,7 @@
         let invariants = Invariants::default();
         invariants.record_call(&record);
         invariants.check_calls(ledger);
-        names(&invariants)
+        violation_names(&invariants)
     };
     assert!(violations_of(record(Ended::Ok), &ran(1)).is_empty());
     assert_eq!(violations_of(record(Ended::Ok), &ran(2)), ["ran twice"]);
@@ -107,7 +107,7 @@
         invariants.end_disturbance(addr, to_us);
         invariants.record_call(&late);
         invariants.check_calls(&ran(1));
-        names(&invariants)
+        violation_names(&invariants)
     };
     assert!(violations_of(900_000, 1_100_000).is_empty());
     assert_eq!(violations_of(100_000, 900_000), ["answer late"]);
@@ -124,7 +124,7 @@
         invariants.begin_silence(late.addr.expect("an address"), 500_000);
         invariants.record_call(&late);
         invariants.check_calls(&ran(1));
-        names(&invariants)
+        violation_names(&invariants)
     };
     assert!(violations_of(Ended::TimedOut).is_empty());
     assert_eq!(violations_of(Ended::Unknown), ["answer late"]);
