--- a/crates/sycamore-bench/src/load/call.rs
+++ b/crates/sycamore-bench/src/load/call.rs
@@ -97,8 +97,8 @@
     if let Some(us) = kind.work_us {
         set(headers::WORK_US, us.to_string());
     }
-    if !kind.onward.is_empty() {
-        set(headers::ONWARD, kind.onward.join(","));
+    if !kind.nested_paths.is_empty() {
+        set(headers::ONWARD, kind.nested_paths.join(","));
     }
     if kind.crash {
         set(headers::CRASH, "1".into());
--- a/crates/sycamore-bench/src/load/kind.rs
+++ b/crates/sycamore-bench/src/load/kind.rs
@@ -33,7 +33,7 @@
     pub key: KeyUse,
     /// Paths of nested calls: the upstream calls the first path, the upstream reached there the second,
     /// and so on.
-    pub onward: Vec<String>,
+    pub nested_paths: Vec<String>,
     /// Value of the criticality header; `None` sends no such header.
     pub criticality: Option<&'static str>,
     /// Whether the call crashes the upstream that runs it.
@@ -52,7 +52,7 @@
             answer: None,
             work_us: None,
             key: KeyUse::None,
-            onward: Vec::new(),
+            nested_paths: Vec::new(),
             criticality: None,
             crash: false,
             timeout_ms: None,
@@ -88,9 +88,9 @@
     }
 
     /// Returns a status lookup at `service` for which its upstream makes a nested lookup at `other`.
-    pub fn chained(service: &str, other: &str) -> Self {
-        let onward = vec![format!("/{other}/status/onward")];
-        Self { weight: 10, onward, ..Self::lookup(service) }
+    pub fn nested(service: &str, other: &str) -> Self {
+        let nested_paths = vec![format!("/{other}/status/onward")];
+        Self { weight: 10, nested_paths, ..Self::lookup(service) }
     }
 }
 
--- a/crates/sycamore-bench/src/measure/overload.rs
+++ b/crates/sycamore-bench/src/measure/overload.rs
@@ -97,7 +97,7 @@
         targets: targets(&fleet, &names[0], baseline)?,
         pick: if baseline { Pick::RoundRobin } else { Pick::Random },
         retries: if baseline { BASELINE_RETRIES } else { 0 },
-        kinds: vec![chained_lookup(&names)],
+        kinds: vec![nested_lookup(&names)],
         ..Default::default()
     };
     let tally = load::run(&load).await;
@@ -143,10 +143,10 @@
 }
 
 /// Returns a lookup that passes through every service of `names` in turn.
-fn chained_lookup(names: &[String]) -> CallKind {
-    let onward = names[1..].iter().map(|name| format!("/{name}/status/onward"));
+fn nested_lookup(names: &[String]) -> CallKind {
+    let nested_paths = names[1..].iter().map(|name| format!("/{name}/status/onward"));
     let timeout_ms = Some(TIMEOUT_MS);
-    CallKind { onward: onward.collect(), timeout_ms, ..CallKind::lookup(&names[0]) }
+    CallKind { nested_paths: nested_paths.collect(), timeout_ms, ..CallKind::lookup(&names[0]) }
 }
 
 fn targets(fleet: &Fleet, first: &str, baseline: bool) -> Result<Vec<Target>> {
--- a/crates/sycamore-bench/src/measure/path.rs
+++ b/crates/sycamore-bench/src/measure/path.rs
@@ -120,7 +120,7 @@
         kinds.push(CallKind::lookup(name));
         kinds.push(CallKind::booking(name));
         kinds.push(CallKind::repeated(name));
-        kinds.push(CallKind::chained(name, names[(i + 1) % names.len()]));
+        kinds.push(CallKind::nested(name, names[(i + 1) % names.len()]));
         kinds.extend(load::photos(name));
     }
     kinds
--- a/crates/sycamore-bench/src/soak/mod.rs
+++ b/crates/sycamore-bench/src/soak/mod.rs
@@ -230,5 +230,5 @@
 fn soak_kind(kind: CallKind) -> Option<CallKind> {
     let timeout_ms = Some(CALL_TIMEOUT.as_millis() as u64);
     let work_us = if kind.is_idempotent() { kind.work_us } else { Some(BOOKING_WORK_US) };
-    kind.onward.is_empty().then_some(CallKind { timeout_ms, work_us, ..kind })
+    kind.nested_paths.is_empty().then_some(CallKind { timeout_ms, work_us, ..kind })
 }
--- a/crates/sycamore-bench/tests/process/explain.rs
+++ b/crates/sycamore-bench/tests/process/explain.rs
@@ -100,7 +100,7 @@
             let pause = nix::sys::signal::Signal::SIGSTOP;
             fleet.signal_upstream(&name, pause).expect("an upstream runs");
         }
-        let kind = CallKind { timeout_ms: Some(900), ..CallKind::chained("counter", "intake") };
+        let kind = CallKind { timeout_ms: Some(900), ..CallKind::nested("counter", "intake") };
         let record = send(fleet, "counter-1", &kind, "waited").await;
         assert_ne!(record.ended, Ended::Ok, "{record:?}");
         // The nested call is the one without an answer, logged by the node of an intake upstream.
--- a/crates/sycamore-bench/tests/process/support.rs
+++ b/crates/sycamore-bench/tests/process/support.rs
@@ -99,7 +99,7 @@
         rate: 60.0,
         time: Duration::from_secs(120),
         targets: targets(fleet, callers_at),
-        kinds: slow_bookings(without_chains(mixed_call_kinds(&fleet.options().deployment))),
+        kinds: slow_bookings(without_nested_calls(mixed_call_kinds(&fleet.options().deployment))),
         ..load::Options::default()
     };
     let scenario = async {
@@ -132,8 +132,8 @@
 
 /// Removes the kinds whose calls call another service: the outcome of such a call is not the
 /// caller's, which these tests check.
-fn without_chains(kinds: Vec<CallKind>) -> Vec<CallKind> {
-    kinds.into_iter().filter(|kind| kind.onward.is_empty()).collect()
+fn without_nested_calls(kinds: Vec<CallKind>) -> Vec<CallKind> {
+    kinds.into_iter().filter(|kind| kind.nested_paths.is_empty()).collect()
 }
 
 /// Makes bookings slow, so that some are in flight whenever a process is disturbed.
