--- a/crates/sycamore-bench/src/demo/mod.rs
+++ b/crates/sycamore-bench/src/demo/mod.rs
@@ -20,7 +20,7 @@
 use std::pin::pin;
 use std::time::{Duration, Instant};
 
-/// Options of `demo`.
+/// Options of the `demo` command.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Seed of all random choices.
@@ -44,7 +44,8 @@
 /// Runs the demonstration and prints its progress and results.
 ///
 /// # Errors
-/// It could not be carried out, a move ended otherwise than expected, or a guarantee was violated.
+/// The demonstration could not be carried out, a move ended otherwise than expected, or a guarantee
+/// was violated.
 pub async fn run(options: Options) -> Result<()> {
     let _limit = guard::limit_run(LIMIT);
     let start = Instant::now();
@@ -54,8 +55,8 @@
     )
     .await?;
     print::started(&[&zlatna_klupa, &sutokatha], start.elapsed());
-    // Until then nodes can't know of earlier runs and answer calls with idempotency keys as perhaps
-    // run.
+    // Until `key_memory` and `view_lag` have passed, nodes can't know of earlier runs and answer calls
+    // with idempotency keys as perhaps run.
     monoio::time::sleep(KEY_MEMORY + SHORT_VIEW_LAG).await;
     let done = Cell::new(false);
     let watch = ConfigWatch::default();
@@ -67,12 +68,12 @@
     let (moves, (first, second)) = join(
         run_moves,
         join(
-            run_with_upkeep(
+            run_supervised(
                 &zlatna_klupa,
                 Some(&watch),
                 load_until(&zlatna_klupa, options.seed, &done),
             ),
-            run_with_upkeep(&sutokatha, None, load_until(&sutokatha, options.seed + 1, &done)),
+            run_supervised(&sutokatha, None, load_until(&sutokatha, options.seed + 1, &done)),
         ),
     )
     .await;
@@ -117,24 +118,25 @@
     Ok(load::run_until(&load, || done.get()).await)
 }
 
-/// Runs `work` with the upkeep of `fleet`, and with `watch` if given, until `work` ends.
-async fn run_with_upkeep<T>(
+/// Runs `work` while `fleet` is supervised, and its configurations are checked by `watch` if given,
+/// until `work` ends.
+async fn run_supervised<T>(
     fleet: &Fleet,
     watch: Option<&ConfigWatch>,
     work: impl std::future::Future<Output = Result<T>>,
 ) -> Result<T> {
-    let upkeep = async {
+    let supervision = async {
         match watch {
             Some(watch) => {
-                join(fleet.tend(), watch.run(fleet)).await;
+                join(fleet.supervise(), watch.run(fleet)).await;
             }
-            None => fleet.tend().await,
+            None => fleet.supervise().await,
         }
     };
-    match select(pin!(work), pin!(upkeep)).await {
+    match select(pin!(work), pin!(supervision)).await {
         Either::Left((result, _)) => result,
         Either::Right(_) => Err(Report::new(BenchError::Unmet(
-            "the fleet upkeep ended before the demonstration did".into(),
+            "the fleet supervision ended before the demonstration did".into(),
         ))),
     }
 }
--- a/crates/sycamore-bench/src/demo/moves.rs
+++ b/crates/sycamore-bench/src/demo/moves.rs
@@ -18,7 +18,7 @@
 /// Time from the import until both moves' deadline, in seconds.
 const WINDOW_S: i64 = 32;
 /// Watch period of both moves, as written in the sheet.
-const WATCH: &str = "6s";
+const WATCH_PERIOD: &str = "6s";
 /// Time between two queries of the report.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after the deadline for which the report is still polled.
@@ -56,9 +56,9 @@
     pub service: &'static str,
     /// Defect of the new version's upstreams.
     pub badness: Badness,
-    /// State as last reported.
+    /// State of the move as last reported.
     pub ending: Ending,
-    /// Move's entry in the last report; null before the first.
+    /// Entry of the move in the last report; null before the first report.
     pub report: Value,
 }
 
@@ -92,10 +92,10 @@
     /// and on the new version.
     pub fn runs(mv: &Move, ledger: &Ledger) -> (usize, usize) {
         let start = mv.report["start"].as_u64().unwrap_or(0) * 1_000;
-        let all = ledger.sightings().iter().filter(|s| {
+        let all = ledger.events().iter().filter(|s| {
             s.service == mv.service
                 && s.at_us >= start
-                && s.kind == crate::witness::SightingKind::Start
+                && s.kind == crate::witness::UpstreamEventKind::Start
         });
         let new = ledger.runs_of_version(mv.service, NEW_VERSION).filter(|r| r.at_us >= start);
         (all.count(), new.count())
@@ -175,7 +175,7 @@
     let now = Timestamp::now().round(Unit::Second).change_context_lazy(context)?;
     let deadline = now.checked_add(WINDOW_S.seconds()).change_context_lazy(context)?;
     let row = |name: &str, service: &str| {
-        format!("{name},{service},1.0.0,{NEW_VERSION},{now},{deadline},{WATCH}\r\n")
+        format!("{name},{service},1.0.0,{NEW_VERSION},{now},{deadline},{WATCH_PERIOD}\r\n")
     };
     let header = "move,service,from,to,start,deadline,watch\r\n";
     Ok(format!("{header}{}{}", row("counter-2", "counter"), row("intake-2", "intake")))
--- a/crates/sycamore-bench/src/fleet/wait.rs
+++ b/crates/sycamore-bench/src/fleet/wait.rs
@@ -1,4 +1,4 @@
-//! Waits for states of a fleet, and restarts or announces its upstreams during a run.
+//! Waits for states of a fleet, and supervises its upstreams during a run: restarts or announces them.
 
 use super::query::operator;
 use super::{Fleet, Upstreams};
@@ -13,7 +13,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time between two checks for crashed upstreams.
-const TEND_INTERVAL: Duration = Duration::from_millis(200);
+const SUPERVISION_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Pause after a round of announcements for upstreams that don't run.
 const ANNOUNCE_PAUSE: Duration = Duration::from_millis(800);
@@ -64,7 +64,8 @@
     /// Waits until every running node sees every other as serving.
     ///
     /// # Errors
-    /// [`BenchError::NotReady`] if a node doesn't within [`super::Options::ready_limit`].
+    /// [`BenchError::NotReady`] if a node doesn't see all others as serving within
+    /// [`super::Options::ready_limit`].
     pub async fn wait_members(&self) -> Result<()> {
         let names = self.running();
         let complete = || async {
@@ -98,8 +99,8 @@
     }
 
     /// Restarts crashed upstreams, and announces the upstreams of fleets with [`Upstreams::Announced`],
-    /// until the future is dropped. It must run concurrently with every load and wait.
-    pub async fn tend(&self) {
+    /// until the future is dropped. The future must run concurrently with every load and wait.
+    pub async fn supervise(&self) {
         loop {
             for instance in self.names() {
                 let crashed = self.with_instance(&instance, |entry| {
@@ -113,7 +114,7 @@
             if self.options.upstreams == Upstreams::Announced {
                 self.announce_all().await;
             }
-            monoio::time::sleep(TEND_INTERVAL).await;
+            monoio::time::sleep(SUPERVISION_INTERVAL).await;
         }
     }
 
--- a/crates/sycamore-bench/src/load/kind.rs
+++ b/crates/sycamore-bench/src/load/kind.rs
@@ -19,9 +19,9 @@
 pub struct CallKind {
     /// Relative frequency of the kind.
     pub weight: u32,
-    /// HTTP method.
+    /// HTTP method of the calls.
     pub method: Method,
-    /// Path; `{}` is replaced by the call's token.
+    /// Path of the calls; `{}` is replaced by the call's token.
     pub path: String,
     /// Size of the request's body in bytes.
     pub body: usize,
@@ -29,11 +29,11 @@
     pub answer: Option<usize>,
     /// Requested mean run time in microseconds; `None` for the upstream's own.
     pub work_us: Option<u64>,
-    /// Use of idempotency keys.
+    /// Use of idempotency keys by the calls.
     pub key: KeyUse,
-    /// Paths of nested calls: the upstream calls the first path, the upstream there the second, and
-    /// so on.
-    pub onward: Vec<String>,
+    /// Paths of nested calls: the upstream calls the first path, the upstream reached there the second,
+    /// and so on.
+    pub nested_paths: Vec<String>,
     /// Value of the criticality header; `None` sends no such header.
     pub criticality: Option<&'static str>,
     /// Whether the call crashes the upstream that runs it.
@@ -52,7 +52,7 @@
             answer: None,
             work_us: None,
             key: KeyUse::None,
-            onward: Vec::new(),
+            nested_paths: Vec::new(),
             criticality: None,
             crash: false,
             timeout_ms: None,
@@ -88,9 +88,9 @@
     }
 
     /// Returns a status lookup at `service` for which its upstream makes a nested lookup at `other`.
-    pub fn chained(service: &str, other: &str) -> Self {
-        let onward = vec![format!("/{other}/status/onward")];
-        Self { weight: 10, onward, ..Self::lookup(service) }
+    pub fn nested(service: &str, other: &str) -> Self {
+        let nested_paths = vec![format!("/{other}/status/onward")];
+        Self { weight: 10, nested_paths, ..Self::lookup(service) }
     }
 }
 
--- a/crates/sycamore-bench/src/measure/converge/run.rs
+++ b/crates/sycamore-bench/src/measure/converge/run.rs
@@ -40,7 +40,7 @@
         ..FleetOptions::default()
     })
     .await?;
-    let report = match select(pin!(measure(options, &fleet)), pin!(fleet.tend())).await {
+    let report = match select(pin!(measure(options, &fleet)), pin!(fleet.supervise())).await {
         Either::Left((report, _)) => report?,
         Either::Right(_) => Report::new(options, Vec::new()),
     };
@@ -48,7 +48,8 @@
     Ok(report)
 }
 
-/// Counters and resource usage of a fleet at one moment; two of them give a stretch's consumption.
+/// Counters and resource usage of a fleet at one moment; the difference of two is the consumption
+/// between them.
 struct Snapshot {
     at: Instant,
     bytes: Bytes,
@@ -77,13 +78,14 @@
     options: &'a Options,
     fleet: &'a Fleet,
     rng: SmallRng,
-    /// Milliseconds from each command, or a stopped node's resume, until a node applied the change.
+    /// Milliseconds from each command, or from the resume of a paused node, until a node applied the
+    /// change.
     times: Vec<f64>,
     /// Milliseconds from each restart until the node applied the change.
     restarts: Vec<f64>,
-    /// Commands that were refused with the winner's name.
+    /// Number of commands that were refused with the winner's name.
     race_lost: usize,
-    /// Failures of races; see [`Report::race_broken`].
+    /// Number of failures in races; see [`Report::race_broken`].
     race_broken: usize,
 }
 
@@ -126,13 +128,13 @@
         let herd = self.draw_herd(&names);
         let rest: Vec<String> = names.into_iter().filter(|name| !herd.contains(name)).collect();
         let Some(at) = rest.choose(&mut self.rng).cloned() else { return Ok(()) };
-        let frozen = self.draw_frozen(&rest, &at);
+        let paused = self.draw_paused(&rest, &at);
         if self.has_fault(Fault::LostAnswer) {
             // Loses the answers to the object's put, which the node repeats, and to the head's
             // write, which the node reads back.
             self.control(Control { lost_answers: Some(2), ..Control::default() }).await?;
         }
-        if let Some(name) = &frozen {
+        if let Some(name) = &paused {
             self.fleet.signal_node(name, Signal::SIGSTOP)?;
         }
         for name in &herd {
@@ -145,7 +147,7 @@
             self.control(Control { outage_ms, ..Control::default() }).await?;
         }
         let responsive: Vec<String> =
-            rest.iter().filter(|n| Some(*n) != frozen.as_ref()).cloned().collect();
+            rest.iter().filter(|n| Some(*n) != paused.as_ref()).cloned().collect();
         let (applied, restarts) = join(
             observe::wait_until_applied(self.fleet, &responsive, version),
             restart_killed(self.fleet, &herd, version),
@@ -153,7 +155,7 @@
         .await;
         self.record_times(sent, &responsive, &applied);
         self.restarts.extend(restarts?);
-        if let Some(name) = frozen {
+        if let Some(name) = paused {
             let resumed = wall_ms();
             self.fleet.signal_node(&name, Signal::SIGCONT)?;
             let applied =
@@ -177,8 +179,8 @@
         names.choose_multiple(&mut self.rng, count).cloned().collect()
     }
 
-    /// Draws the node that the `freeze` fault stops, other than `not`; `None` without the fault.
-    fn draw_frozen(&mut self, names: &[String], not: &str) -> Option<String> {
+    /// Draws the node that the `freeze` fault pauses, other than `not`; `None` without the fault.
+    fn draw_paused(&mut self, names: &[String], not: &str) -> Option<String> {
         if !self.has_fault(Fault::Freeze) {
             return None;
         }
@@ -248,26 +250,26 @@
         violations: Violations,
     ) -> Report {
         let nodes = self.options.nodes as f64;
-        let (quiet, busy) = (seconds(idle, start), seconds(start, end));
+        let (idle_s, changes_s) = (seconds(idle, start), seconds(start, end));
         let idle_bytes = start.bytes.total() - idle.bytes.total();
-        let idle_peers = start.bytes.peers - idle.bytes.peers;
-        let busy_bytes = end.bytes.total() - start.bytes.total();
-        let extra = busy_bytes - idle_bytes / quiet * busy;
+        let idle_peer_bytes = start.bytes.peers - idle.bytes.peers;
+        let change_bytes = end.bytes.total() - start.bytes.total();
+        let extra_bytes = change_bytes - idle_bytes / idle_s * changes_s;
         let (reads, writes) =
             (end.stats.reads - idle.stats.reads, end.stats.writes - idle.stats.writes);
         let usage = UsageShares::between(idle, end);
         let mut report =
             Report::new(self.options, self.times.clone()).with_restarts(self.restarts.clone());
-        report.seconds = quiet + busy;
-        report.idle_bytes_per_node_s = idle_bytes / quiet / nodes;
-        report.idle_peer_bytes_per_node_s = idle_peers / quiet / nodes;
+        report.seconds = idle_s + changes_s;
+        report.idle_bytes_per_node_s = idle_bytes / idle_s / nodes;
+        report.idle_peer_bytes_per_node_s = idle_peer_bytes / idle_s / nodes;
         // Killed nodes lose their counters, so a run with a herd has no such figure.
         report.bytes_per_change_per_node = match self.has_fault(Fault::Herd) {
             true => f64::NAN,
-            false => extra / (self.options.changes.max(1) as f64 * nodes),
+            false => extra_bytes / (self.options.changes.max(1) as f64 * nodes),
         };
-        report.platform_reads_per_s = reads as f64 / (quiet + busy);
-        report.platform_writes_per_s = writes as f64 / (quiet + busy);
+        report.platform_reads_per_s = reads as f64 / (idle_s + changes_s);
+        report.platform_writes_per_s = writes as f64 / (idle_s + changes_s);
         report.platform_refused = end.stats.refused - idle.stats.refused;
         report.cpu_core_share_mean = Some(usage.cpu_mean);
         report.cpu_core_share_max = Some(usage.cpu_max);
@@ -299,8 +301,8 @@
     Ok(herd.iter().map(time).collect())
 }
 
-/// CPU time as a share of one core, for nodes whose process lived through a stretch, and memory in
-/// MiB at its end, for all nodes.
+/// CPU and memory usage of nodes between two snapshots: CPU time as a share of one core, over the nodes
+/// that ran without a restart, and memory in MiB at the second snapshot, over all nodes.
 struct UsageShares {
     cpu_mean: f64,
     cpu_max: f64,
--- a/crates/sycamore-bench/src/measure/moves/mod.rs
+++ b/crates/sycamore-bench/src/measure/moves/mod.rs
@@ -26,9 +26,10 @@
 /// Policy that raises the new version's share and decides on a move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// The product's state machines.
+    /// The product's state machines raise the share and decide by the evidence.
     Product,
-    /// Fixed steps with a threshold on the error rate; see [`baseline::Baseline`].
+    /// The share rises in fixed steps, and the error rate is compared with a threshold; see
+    /// [`baseline::Baseline`].
     Baseline,
 }
 
@@ -111,7 +112,7 @@
     let kinds = kinds.chain((0..options.bad).map(|i| BAD[i % BAD.len()]));
     for (index, kind) in kinds.enumerate() {
         let trial = run_trial(&options, kind, index as u64);
-        if let Some(reason) = trial.false_withdrawal_reason() {
+        if let Some(reason) = trial.false_taken_back_reason() {
             eprintln!("move {index} ({kind:?}) to a good version was taken back: {reason}");
         }
         summary.add(&trial);
--- a/crates/sycamore-bench/src/measure/moves/trial/mod.rs
+++ b/crates/sycamore-bench/src/measure/moves/trial/mod.rs
@@ -23,13 +23,14 @@
 /// Longest time that a trial continues after the move's deadline, in milliseconds.
 const AFTER_DEADLINE_MS: u64 = 60_000;
 /// Probability that a report between nodes is lost; also that it arrives twice.
-const LOSS: f64 = 0.02;
+const LOSS_PROBABILITY: f64 = 0.02;
 /// Time from the kill of a node process until its restart, in milliseconds.
 const RESTART_DELAY_MS: u64 = 1_500;
 /// Time between two kills, in milliseconds.
 const KILL_INTERVAL_MS: u64 = 8_000;
 
-/// Message in flight; an index is that of the node it arrives at, or of the row's writer.
+/// Message in flight; an index is that of the node at which the message arrives, or of the node that
+/// writes the row.
 enum Message {
     Report(usize, Box<Report>),
     Fact(usize, Fact),
@@ -43,7 +44,7 @@
 pub struct Trial {
     /// Scenario of the move.
     pub kind: Kind,
-    /// Operators aborted the move.
+    /// Whether operators aborted the move.
     pub aborted: bool,
     /// Outcome of the move; `None` if none was recorded by the end of the trial.
     pub outcome: Option<Outcome>,
@@ -51,13 +52,13 @@
     pub in_time: bool,
     /// Number of outcomes written to the table.
     pub outcomes_written: usize,
-    /// Calls to the service while the move was open.
+    /// Number of calls to the service while the move was open.
     pub calls: u64,
-    /// Calls of these that the new version got.
+    /// Number of calls that the new version got while the move was open.
     pub calls_new: u64,
-    /// Calls that the new version got later than a second after the evidence sufficed.
+    /// Number of calls that the new version got later than a second after the evidence sufficed.
     pub after_evidence: u64,
-    /// Calls that an instance of the new version admitted while its node held the verdict.
+    /// Number of calls that an instance of the new version admitted while its node held the verdict.
     pub after_verdict: u64,
     /// Time from the first answer that was affected by the defect to the last call that the new
     /// version got, in milliseconds; `None` if the version was not taken back.
@@ -67,7 +68,7 @@
 impl Trial {
     /// Returns the reason for which a good version was taken back; `None` if it was not, if the
     /// version is bad or if an operator aborted the move.
-    pub fn false_withdrawal_reason(&self) -> Option<&str> {
+    pub fn false_taken_back_reason(&self) -> Option<&str> {
         let outcome = self.outcome.as_ref().filter(|_| !self.kind.is_bad() && !self.aborted)?;
         (outcome.kind == EndKind::TakenBack).then_some(outcome.reason.as_str())
     }
@@ -90,8 +91,8 @@
     faults: &'a Faults,
     rng: SmallRng,
     now: u64,
-    /// Nodes of the old version's instances, of the new version's, then those that callers speak
-    /// to.
+    /// Nodes of the old version's instances, nodes of the new version's, then the nodes that callers
+    /// send their calls to.
     nodes: Vec<Node>,
     queue: MessageQueue<Message>,
     table: Table,
@@ -101,7 +102,7 @@
     baseline: Baseline,
     /// Time at which operators abort the move; `u64::MAX` after that, `None` if they don't.
     abort_at: Option<u64>,
-    /// Calls that are still to crash an instance of the new version in [`Kind::CrashRequest`].
+    /// Number of calls that are still to crash an instance of the new version in [`Kind::CrashRequest`].
     crash_requests: usize,
     /// Number of outcome writes, from which operation identifiers are made.
     ops: u128,
@@ -113,7 +114,7 @@
     first_defect_ms: Option<u64>,
     /// Time of the last call that the new version got.
     last_new_ms: u64,
-    /// Calls that the rate has made due but that are not sent yet, as a fraction.
+    /// Number of calls, with a fraction, that are due by the rate but not sent yet.
     due_calls: f64,
 }
 
@@ -160,7 +161,7 @@
         let ended = match self.policy {
             Policy::Product => self.table.row().is_ended(),
             Policy::Baseline => {
-                self.baseline.withdrawn_ms.is_some() || self.now >= self.scenario.deadline_ms
+                self.baseline.taken_back_ms.is_some() || self.now >= self.scenario.deadline_ms
             }
         };
         // Nodes need some time to learn that the move has ended.
@@ -198,7 +199,7 @@
 
     /// Passes the inputs that are due to the node with the given index.
     fn run_timers(&mut self, index: usize) {
-        if self.now < self.nodes[index].dead_until_ms {
+        if self.now < self.nodes[index].node_down_until_ms {
             return;
         }
         // Offsets the nodes' timers, which don't run in step in reality either.
@@ -240,8 +241,8 @@
     /// Sends a message with a random delay in milliseconds; it may be lost or arrive twice.
     fn send_lossy(&mut self, delay: std::ops::Range<u64>, message: impl Fn() -> Message) {
         let copies = match self.rng.random::<f64>() {
-            draw if draw < LOSS => 0,
-            draw if draw < 2.0 * LOSS => 2,
+            draw if draw < LOSS_PROBABILITY => 0,
+            draw if draw < 2.0 * LOSS_PROBABILITY => 2,
             _ => 1,
         };
         for _ in 0..copies {
@@ -253,7 +254,7 @@
     /// Passes `input` to the control of a node, unless the node is down, and carries out its
     /// actions.
     fn step_control(&mut self, index: usize, input: Input) {
-        if self.now < self.nodes[index].dead_until_ms {
+        if self.now < self.nodes[index].node_down_until_ms {
             return;
         }
         for action in self.nodes[index].step(self.now, input) {
@@ -348,7 +349,7 @@
         }
     }
 
-    /// Restarts killed nodes whose time has come, and kills a random one every
+    /// Restarts the killed nodes whose restart is due, and kills a random one every
     /// [`KILL_INTERVAL_MS`].
     fn kill_and_restart(&mut self) {
         if !self.faults.kill || self.now < self.scenario.start_ms {
@@ -357,7 +358,7 @@
         let row = self.table.row().clone();
         for index in 0..2 * self.scenario.instances {
             let node = &mut self.nodes[index];
-            if node.dead_until_ms != 0 && self.now >= node.dead_until_ms {
+            if node.node_down_until_ms != 0 && self.now >= node.node_down_until_ms {
                 node.restart(&row, self.now);
                 for fact in &self.facts {
                     self.queue.send(self.now + 300, Message::Fact(index, fact.clone()));
@@ -366,7 +367,7 @@
         }
         if self.now.is_multiple_of(KILL_INTERVAL_MS) {
             let victim = self.rng.random_range(0..2 * self.scenario.instances);
-            self.nodes[victim].dead_until_ms = self.now + RESTART_DELAY_MS;
+            self.nodes[victim].node_down_until_ms = self.now + RESTART_DELAY_MS;
             self.nodes[victim].running.clear();
         }
     }
--- a/crates/sycamore-bench/src/measure/overload.rs
+++ b/crates/sycamore-bench/src/measure/overload.rs
@@ -10,12 +10,12 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Upstreams per service.
+/// Number of upstreams of each service.
 const UPSTREAMS: usize = 2;
-/// Concurrent calls per upstream.
+/// Number of calls that each upstream runs at the same time.
 const SLOTS: u16 = 4;
-/// Mean time that a call takes at each service level, without its calls onward.
-const WORK: Duration = Duration::from_millis(40);
+/// Mean time that a call takes at each service level, without its nested calls.
+const WORK_TIME: Duration = Duration::from_millis(40);
 /// Timeout of each call, in milliseconds.
 const TIMEOUT_MS: u64 = 2_000;
 /// Retries per failed call under the `baseline` policy, whatever the failure.
@@ -28,12 +28,12 @@
     pub seed: u64,
     /// Offered load, as a multiple of capacity.
     pub load: f64,
-    /// Services that each call passes through, one calling the next; at least 1.
+    /// Number of services that each call passes through, one calling the next; at least 1.
     pub depth: usize,
     /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// `node`, or `baseline`: callers bypass the nodes, pick upstreams round robin and retry a
-    /// failed call up to three times.
+    /// Policy of the callers: `node` sends calls through the nodes; with `baseline` callers bypass the
+    /// nodes, pick upstreams round robin and retry a failed call up to three times.
     pub policy: String,
 }
 
@@ -77,7 +77,7 @@
 /// Runs `measure overload` and prints its result.
 pub(super) async fn run(options: Options) -> Result<()> {
     let names: Vec<String> = (0..options.depth.max(1)).map(|i| format!("level-{i}")).collect();
-    let upstream = upstream::Options { slots: SLOTS, work: WORK, ..Default::default() };
+    let upstream = upstream::Options { slots: SLOTS, work: WORK_TIME, ..Default::default() };
     let fleet = Fleet::start(FleetOptions {
         deployment: overload_deployment(&names),
         seed: options.seed,
@@ -88,7 +88,7 @@
     fleet.wait_members().await?;
     // A call occupies its slot at the first level until all levels have answered.
     let slots = (UPSTREAMS * usize::from(SLOTS)) as f64;
-    let capacity_per_s = slots / (WORK.as_secs_f64() * names.len() as f64);
+    let capacity_per_s = slots / (WORK_TIME.as_secs_f64() * names.len() as f64);
     let baseline = options.policy == "baseline";
     let load = load::Options {
         seed: options.seed,
@@ -97,7 +97,7 @@
         targets: targets(&fleet, &names[0], baseline)?,
         pick: if baseline { Pick::RoundRobin } else { Pick::Random },
         retries: if baseline { BASELINE_RETRIES } else { 0 },
-        kinds: vec![chained_lookup(&names)],
+        kinds: vec![nested_lookup(&names)],
         ..Default::default()
     };
     let tally = load::run(&load).await;
@@ -143,10 +143,10 @@
 }
 
 /// Returns a lookup that passes through every service of `names` in turn.
-fn chained_lookup(names: &[String]) -> CallKind {
-    let onward = names[1..].iter().map(|name| format!("/{name}/status/onward"));
+fn nested_lookup(names: &[String]) -> CallKind {
+    let nested_paths = names[1..].iter().map(|name| format!("/{name}/status/onward"));
     let timeout_ms = Some(TIMEOUT_MS);
-    CallKind { onward: onward.collect(), timeout_ms, ..CallKind::lookup(&names[0]) }
+    CallKind { nested_paths: nested_paths.collect(), timeout_ms, ..CallKind::lookup(&names[0]) }
 }
 
 fn targets(fleet: &Fleet, first: &str, baseline: bool) -> Result<Vec<Target>> {
--- a/crates/sycamore-bench/src/measure/path.rs
+++ b/crates/sycamore-bench/src/measure/path.rs
@@ -59,8 +59,8 @@
         ..Default::default()
     };
     let fleet = Fleet::start(fleet_options).await?;
-    // Until then nodes can't know of earlier runs and answer calls with idempotency keys as perhaps
-    // run.
+    // Until `key_memory` and `view_lag` have passed, nodes can't know of earlier runs and answer calls
+    // with idempotency keys as perhaps run.
     monoio::time::sleep(KEY_MEMORY + SHORT_VIEW_LAG).await;
     let load = load::Options {
         seed: options.seed,
@@ -70,7 +70,7 @@
         kinds,
         ..Default::default()
     };
-    let tally = match select(pin!(load::run(&load)), pin!(fleet.tend())).await {
+    let tally = match select(pin!(load::run(&load)), pin!(fleet.supervise())).await {
         Either::Left((tally, _)) => tally,
         Either::Right(_) => load::Tally::default(),
     };
@@ -120,7 +120,7 @@
         kinds.push(CallKind::lookup(name));
         kinds.push(CallKind::booking(name));
         kinds.push(CallKind::repeated(name));
-        kinds.push(CallKind::chained(name, names[(i + 1) % names.len()]));
+        kinds.push(CallKind::nested(name, names[(i + 1) % names.len()]));
         kinds.extend(load::photos(name));
     }
     kinds
--- a/crates/sycamore-bench/src/soak/mod.rs
+++ b/crates/sycamore-bench/src/soak/mod.rs
@@ -5,7 +5,7 @@
 mod promises;
 pub mod schedule;
 
-pub use promises::{Breach, Invariants};
+pub use promises::{Invariants, Violation};
 
 use crate::fleet::{
     ConfigWatch, Deployment, Fleet, Options as FleetOptions, ServiceSpec, KEY_MEMORY,
@@ -43,7 +43,7 @@
 /// Options of the `soak` command.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// First seed; determines events and load.
+    /// First seed to run; each seed determines the events and the load of one run.
     pub seed: u64,
     /// Number of consecutive seeds to run, starting with [`Options::seed`].
     pub seeds: u64,
@@ -59,7 +59,7 @@
     construct!(Options { seed, seeds, seconds })
 }
 
-/// Result of a soak run with one seed, printed as JSON.
+/// Result of a soak run with one seed, printed as a line of JSON.
 #[derive(Debug, Serialize)]
 pub struct Outcome {
     /// Seed of the run.
@@ -69,8 +69,9 @@
     /// Number of calls per [`Ended`] variant, keyed by the variant's name.
     pub calls: BTreeMap<String, usize>,
     /// Violated invariants with the observations that show them.
-    pub breaches: Vec<Breach>,
-    /// Directory with settings and logs; deleted if no invariant was violated.
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
+    /// Directory with the fleet's settings and logs; deleted if no invariant was violated.
     pub logs: String,
 }
 
@@ -84,7 +85,7 @@
     for seed in options.seed..options.seed + options.seeds {
         let outcome = play(seed, Duration::from_secs(options.seconds)).await?;
         print(&outcome);
-        if !outcome.breaches.is_empty() {
+        if !outcome.violations.is_empty() {
             violated.push(seed);
         }
     }
@@ -107,8 +108,8 @@
     // answer calls with an idempotency key as unknown.
     let key_warmup = KEY_MEMORY + sycamore_settings::calls::Calls::default().view_lag;
     let warmup = monoio::time::sleep(key_warmup);
-    if let Either::Right(_) = select(pin!(warmup), pin!(fleet.tend())).await {
-        unreachable!("Fleet::tend never returns");
+    if let Either::Right(_) = select(pin!(warmup), pin!(fleet.supervise())).await {
+        unreachable!("Fleet::supervise never returns");
     }
     let invariants = Invariants::default();
     let events = schedule::plan(seed, time, &fleet.names());
@@ -131,7 +132,7 @@
             invariants.check_configs(&watch.violations());
         }
     };
-    let background = join(join(fleet.tend(), watch.run(&fleet)), checks);
+    let background = join(join(fleet.supervise(), watch.run(&fleet)), checks);
     let run = async {
         let (_, played) = join(calls, play_all).await;
         played?;
@@ -142,11 +143,11 @@
     }
     invariants.check_calls(&fleet.witness().ledger().await);
     invariants.check_configs(&watch.violations());
-    let breaches = invariants.breaches();
+    let violations = invariants.violations();
     let logs = fleet.dir().display().to_string();
     let outcome =
-        Outcome { seed, events: events.len(), calls: invariants.call_counts(), breaches, logs };
-    match outcome.breaches.is_empty() {
+        Outcome { seed, events: events.len(), calls: invariants.call_counts(), violations, logs };
+    match outcome.violations.is_empty() {
         true => fleet.stop().await,
         false => fleet.stop_and_keep().await,
     }
@@ -170,7 +171,7 @@
         fleet.wait_for("the newest configuration on every node", at_newest).await
     };
     if let Err(report) = recovered.await {
-        invariants.add_breach("not as before", report.current_context().to_string());
+        invariants.add_violation("not as before", report.current_context().to_string());
     }
     eprintln!("wait for recovery ended after {:.1} s", start.elapsed().as_secs_f64());
     for round in 1.. {
@@ -187,7 +188,7 @@
         eprintln!("{} calls failed in the load that ended after {elapsed:.1} s", failed.len());
         if start.elapsed() > RECOVERY_LIMIT {
             for record in failed {
-                invariants.add_breach("call failed after all was over", format!("{record:?}"));
+                invariants.add_violation("call failed after all was over", format!("{record:?}"));
             }
             break;
         }
@@ -229,5 +230,5 @@
 fn soak_kind(kind: CallKind) -> Option<CallKind> {
     let timeout_ms = Some(CALL_TIMEOUT.as_millis() as u64);
     let work_us = if kind.is_idempotent() { kind.work_us } else { Some(BOOKING_WORK_US) };
-    kind.onward.is_empty().then_some(CallKind { timeout_ms, work_us, ..kind })
+    kind.nested_paths.is_empty().then_some(CallKind { timeout_ms, work_us, ..kind })
 }
--- a/crates/sycamore-bench/src/soak/promises.rs
+++ b/crates/sycamore-bench/src/soak/promises.rs
@@ -1,4 +1,5 @@
-//! Checks the invariants promised to callers, upstreams and operators while faults are injected.
+//! Checks the soak's invariants, which are guaranteed to callers, upstreams and operators, while faults
+//! are injected.
 
 use crate::load::{Ended, Record};
 use crate::measure::Violations;
@@ -21,17 +22,17 @@
 const IN_PROGRESS: &str = "in-progress";
 
 /// Violated invariant: its name, and the observation that shows it.
-pub type Breach = (&'static str, String);
+pub type Violation = (&'static str, String);
 
 /// Period in which a fault affects the callers of one address.
 #[derive(Debug, Clone, Copy)]
 struct Window {
-    /// Start, in microseconds since the Unix epoch.
+    /// Start of the period, in microseconds since the Unix epoch.
     from_us: u64,
-    /// End, in microseconds since the Unix epoch; `None` while the fault goes on.
+    /// End of the period, in microseconds since the Unix epoch; `None` while the fault goes on.
     to_us: Option<u64>,
-    /// The fault is connections that went silent for good: it excuses calls without an answer only,
-    /// because calls on other connections are answered.
+    /// Whether the fault made open connections silent for good. Such a fault excuses only calls without
+    /// an answer, because calls on other connections are answered.
     silent: bool,
 }
 
@@ -40,11 +41,11 @@
 pub struct Invariants {
     records: RefCell<HashMap<String, Vec<Record>>>,
     windows: RefCell<BTreeMap<SocketAddr, Vec<Window>>>,
-    breaches: RefCell<BTreeSet<Breach>>,
+    violations: RefCell<BTreeSet<Violation>>,
 }
 
 impl Invariants {
-    /// Records a call that ended.
+    /// Records a call that ended, for the next check.
     pub fn record_call(&self, record: &Record) {
         self.records.borrow_mut().entry(record.token.clone()).or_default().push(record.clone());
     }
@@ -73,8 +74,8 @@
     }
 
     /// Records a violation of the invariant `name`, shown by `seen`.
-    pub fn add_breach(&self, name: &'static str, seen: String) {
-        self.breaches.borrow_mut().insert((name, seen));
+    pub fn add_violation(&self, name: &'static str, seen: String) {
+        self.violations.borrow_mut().insert((name, seen));
     }
 
     /// Checks all calls recorded so far against the runs that upstreams reported.
@@ -83,12 +84,15 @@
         for (token, records) in self.records.borrow().iter() {
             let ran = runs.get(token.as_str()).map_or(0, Vec::len);
             if ran > 1 && !records[0].idempotent {
-                self.add_breach("ran twice", format!("{token}: {records:?}, {:?}", runs[&**token]));
+                self.add_violation(
+                    "ran twice",
+                    format!("{token}: {records:?}, {:?}", runs[&**token]),
+                );
             }
             // While a second sending has no answer yet, it may be the one that ran.
             let all_ended = records.len() == records[0].sendings;
             if ran > 0 && all_ended && records.iter().all(is_refused_as_not_run) {
-                self.add_breach("not run, and ran", format!("{token}: {records:?}"));
+                self.add_violation("not run, and ran", format!("{token}: {records:?}"));
             }
             for record in records {
                 self.check_answer(record);
@@ -96,19 +100,20 @@
         }
         let late = ledger.runs_after_drain(DRAIN_ALLOWED_US);
         if late > 0 {
-            self.add_breach("work after leaving", format!("{late} runs"));
+            self.add_violation("work after leaving", format!("{late} runs"));
         }
     }
 
+    /// Records a violation if the call's answer is wrong, truncated or late without an excuse.
     fn check_answer(&self, record: &Record) {
         match record.ended {
-            Ended::Wrong => self.add_breach("another's answer", format!("{record:?}")),
-            Ended::Short => self.add_breach("answer not whole", format!("{record:?}")),
+            Ended::Wrong => self.add_violation("another's answer", format!("{record:?}")),
+            Ended::Short => self.add_violation("answer not whole", format!("{record:?}")),
             _ => {}
         }
         let late = record.latency > CALL_TIMEOUT + ANSWER_SLACK;
         if late && !self.was_disturbed(record) {
-            self.add_breach("answer late", format!("{record:?}"));
+            self.add_violation("answer late", format!("{record:?}"));
         }
     }
 
@@ -121,14 +126,14 @@
         ];
         for (name, count) in counts {
             if count > 0 {
-                self.add_breach(name, format!("{count} times"));
+                self.add_violation(name, format!("{count} times"));
             }
         }
     }
 
     /// Returns the violations recorded so far, sorted by name.
-    pub fn breaches(&self) -> Vec<Breach> {
-        self.breaches.borrow().iter().cloned().collect()
+    pub fn violations(&self) -> Vec<Violation> {
+        self.violations.borrow().iter().cloned().collect()
     }
 
     /// Returns the number of recorded calls per [`Ended`] variant, keyed by the variant's name.
--- a/crates/sycamore-bench/tests/process/support.rs
+++ b/crates/sycamore-bench/tests/process/support.rs
@@ -63,12 +63,12 @@
     pub tally: Tally,
     /// Requests that ran on upstreams.
     pub ledger: Ledger,
-    /// Violated guarantees.
+    /// Counts of violated guarantees.
     pub violations: Violations,
 }
 
 /// Runs `scenario` on a small fleet under mixed calls to the nodes `callers_at`, or to all nodes if
-/// it is empty. The load ends with the scenario.
+/// `callers_at` is empty. The load ends with the scenario.
 pub fn run_under_load(
     seed: u64,
     callers_at: &[&str],
@@ -99,7 +99,7 @@
         rate: 60.0,
         time: Duration::from_secs(120),
         targets: targets(fleet, callers_at),
-        kinds: slow_bookings(without_chains(mixed_call_kinds(&fleet.options().deployment))),
+        kinds: slow_bookings(without_nested_calls(mixed_call_kinds(&fleet.options().deployment))),
         ..load::Options::default()
     };
     let scenario = async {
@@ -108,10 +108,10 @@
         result
     };
     let work = join(load::run_until(&load, || done.get()), scenario);
-    let upkeep = join(fleet.tend(), watch.run(fleet));
-    let (tally, result) = match select(pin!(work), pin!(upkeep)).await {
+    let supervision = join(fleet.supervise(), watch.run(fleet));
+    let (tally, result) = match select(pin!(work), pin!(supervision)).await {
         Either::Left((both, _)) => both,
-        Either::Right(_) => unreachable!("the upkeep of a fleet never ends"),
+        Either::Right(_) => unreachable!("Fleet::supervise never returns"),
     };
     result.expect("the scenario succeeds");
     let ledger = fleet.witness().ledger().await;
@@ -132,8 +132,8 @@
 
 /// Removes the kinds whose calls call another service: the outcome of such a call is not the
 /// caller's, which these tests check.
-fn without_chains(kinds: Vec<CallKind>) -> Vec<CallKind> {
-    kinds.into_iter().filter(|kind| kind.onward.is_empty()).collect()
+fn without_nested_calls(kinds: Vec<CallKind>) -> Vec<CallKind> {
+    kinds.into_iter().filter(|kind| kind.nested_paths.is_empty()).collect()
 }
 
 /// Makes bookings slow, so that some are in flight whenever a process is disturbed.
